--- a/crates/chervilfall_planner/src/planner/accounts.rs
+++ b/crates/chervilfall_planner/src/planner/accounts.rs
@@ -1,31 +1,31 @@
-//! What client accounts have running, and what they may have.
+//! Usage, quotas and shares of client accounts.
 
 use std::collections::BTreeMap;
 
 use crate::account::{Account, AccountName};
 use crate::ids::{JobId, Millis, TaskKey};
-use crate::meters;
+use crate::metrics;
 use crate::planner::Planner;
-use crate::policy::share::{Share, Standing};
-use crate::room::Room;
+use crate::policy::share::{Share, ShareAdmission};
+use crate::resources::Resources;
 use crate::tasks::{StepKey, TaskState};
 
-/// Time between metrics of accounts.
-const SHOW_MS: Millis = 1_000;
+/// Interval between updates of the metrics of accounts.
+const METRICS_INTERVAL_MS: Millis = 1_000;
 
-/// Names an account in the arena.
+/// Index of an account in [`Accounts`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AccountKey(u32);
 
 #[derive(Debug)]
 struct AccountState {
     name: AccountName,
-    quota: Room,
+    quota: Resources,
     share: Share,
-    /// What its runs use, those that are being stopped or may be at work among them.
-    used: Room,
-    /// What inherited tasks use whose runs may not have been found yet.
-    unseen: Room,
+    /// Usage by its runs, including those that are being stopped or may still be running.
+    used: Resources,
+    /// Usage by inherited tasks that may have runs which have not been found yet.
+    unconfirmed: Resources,
 }
 
 /// The accounts that jobs belong to.
@@ -33,11 +33,11 @@
 pub(super) struct Accounts {
     states: Vec<AccountState>,
     keys: BTreeMap<AccountName, AccountKey>,
-    shown_ms: Millis,
+    exported_ms: Millis,
 }
 
 impl Accounts {
-    /// Returns the key of an account, which exists from now on.
+    /// Returns the key of an account, which is created if it is missing.
     pub(super) fn key(&mut self, name: &str, now: Millis) -> AccountKey {
         if let Some(key) = self.keys.get(name) {
             return *key;
@@ -45,16 +45,17 @@
         let key = AccountKey(u32::try_from(self.states.len()).unwrap_or(u32::MAX));
         self.states.push(AccountState {
             name: name.to_owned(),
-            quota: Room::default(),
+            quota: Resources::default(),
             share: Share::new(0.0, now),
-            used: Room::default(),
-            unseen: Room::default(),
+            used: Resources::default(),
+            unconfirmed: Resources::default(),
         });
         self.keys.insert(name.to_owned(), key);
         key
     }
 
-    /// Takes over quotas and shares. An account that is dropped keeps its last ones for what it has handed in.
+    /// Applies quotas and shares. An account that is no longer configured keeps its last ones for
+    /// the jobs that it has submitted.
     pub(super) fn configure(&mut self, accounts: &BTreeMap<AccountName, Account>, now: Millis) {
         for account in accounts.values() {
             let key = self.key(&account.name, now);
@@ -63,7 +64,7 @@
                 log::info!(
                     account = account.name.as_str(), cpu_milli = account.quota.cpu_milli,
                     memory_mb = account.quota.memory_mb, used_cpu_milli = state.used.cpu_milli;
-                    "quota in force"
+                    "quota applied"
                 );
             }
             state.quota = account.quota;
@@ -83,44 +84,44 @@
         &self.state(key).name
     }
 
-    pub(super) fn add(&mut self, key: AccountKey, usage: Room) {
+    pub(super) fn add(&mut self, key: AccountKey, usage: Resources) {
         let state = self.state_mut(key);
         state.used = state.used.add(usage);
     }
 
-    pub(super) fn remove(&mut self, key: AccountKey, usage: Room) {
+    pub(super) fn remove(&mut self, key: AccountKey, usage: Resources) {
         let state = self.state_mut(key);
         state.used = state.used.minus(usage);
     }
 
-    /// Returns how many tasks that use `need` each an account may start now.
-    fn room_for(&self, key: AccountKey, need: Room) -> u32 {
+    /// Returns how many tasks of `need` each an account may start now.
+    fn startable_tasks(&self, key: AccountKey, need: Resources) -> u32 {
         let state = self.state(key);
-        let used = state.used.add(state.unseen);
-        state.quota.fits_beside(used, need)
+        let used = state.used.add(state.unconfirmed);
+        state.quota.max_fitting_in_quota(used, need)
     }
 
-    fn forget_unseen(&mut self) {
+    fn clear_unconfirmed(&mut self) {
         for state in &mut self.states {
-            state.unseen = Room::default();
+            state.unconfirmed = Resources::default();
         }
     }
 
-    /// Shows what accounts use, once a second; an operator reads a bounded number of them.
-    pub(super) fn show(&mut self, now: Millis) {
-        if now < self.shown_ms + SHOW_MS {
+    /// Updates the metrics of accounts once a second, for a bounded number of accounts.
+    pub(super) fn export_metrics(&mut self, now: Millis) {
+        if now < self.exported_ms + METRICS_INTERVAL_MS {
             return;
         }
-        self.shown_ms = now;
-        for state in self.states.iter().take(meters::MOST_ACCOUNTS) {
-            meters::account(&state.name, state.used.cpu_milli, state.quota.cpu_milli);
+        self.exported_ms = now;
+        for state in self.states.iter().take(metrics::MAX_ACCOUNTS) {
+            metrics::account(&state.name, state.used.cpu_milli, state.quota.cpu_milli);
         }
     }
 }
 
 impl Planner {
     /// Returns how many tasks of a step its job's account may start now.
-    pub(super) fn quota_room(&self, key: StepKey) -> u32 {
+    pub(super) fn tasks_within_quota(&self, key: StepKey) -> u32 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
         };
@@ -128,19 +129,20 @@
         else {
             return u32::MAX;
         };
-        self.accounts.room_for(account, Room::charged(step))
+        self.accounts
+            .startable_tasks(account, Resources::charged_to_account(step))
     }
 
-    /// Returns what a task counts for, and against whom.
-    pub(super) fn charge(&self, task: TaskKey) -> Option<(AccountKey, Room)> {
+    /// Returns the account to which a task is charged, and the charged resources.
+    pub(super) fn charge(&self, task: TaskKey) -> Option<(AccountKey, Resources)> {
         let job = self.jobs.get(&task.job)?;
         let step = job.spec.steps.get(task.step as usize)?;
-        Some((job.account?, Room::charged(step)))
+        Some((job.account?, Resources::charged_to_account(step)))
     }
 
-    /// Counts inherited tasks as at work while their runs may not have been found yet.
-    pub(super) fn count_unseen(&mut self) {
-        self.accounts.forget_unseen();
+    /// Counts inherited tasks as running while they may have runs that have not been found yet.
+    pub(super) fn count_unconfirmed(&mut self) {
+        self.accounts.clear_unconfirmed();
         if self.barrier.is_none() {
             return;
         }
@@ -157,34 +159,34 @@
             let Some(step) = job.spec.steps.get(key.step as usize) else {
                 continue;
             };
-            let unseen = Room::charged(step).times(waiting);
+            let unconfirmed = Resources::charged_to_account(step).times(waiting);
             let state = self.accounts.state_mut(account);
-            state.unseen = state.unseen.add(unseen);
+            state.unconfirmed = state.unconfirmed.add(unconfirmed);
         }
     }
 
-    /// Says what becomes of a job that an account hands in.
-    pub(super) fn standing(&mut self, account: Option<AccountKey>) -> Standing {
+    /// Charges a submitted job to its account's share, and returns whether it is admitted.
+    pub(super) fn charge_share(&mut self, account: Option<AccountKey>) -> ShareAdmission {
         let Some(account) = account else {
-            return Standing::Within;
+            return ShareAdmission::WithinShare;
         };
-        let standing = self.accounts.state_mut(account).share.take(self.now);
-        if standing == Standing::Beyond {
-            self.accounts.state_mut(account).share.add_beyond();
+        let admission = self.accounts.state_mut(account).share.take(self.now);
+        if admission == ShareAdmission::OverShare {
+            self.accounts.state_mut(account).share.add_over_share_job();
         }
-        standing
+        admission
     }
 
-    /// Takes note that a job has ended.
-    pub(super) fn end_share(&mut self, id: JobId) {
+    /// Updates the account's share for a job that has ended.
+    pub(super) fn release_share(&mut self, id: JobId) {
         let job = self.jobs.get(&id);
         if let Some(account) = job.filter(|job| job.beyond).and_then(|job| job.account) {
-            self.accounts.state_mut(account).share.end_beyond();
+            self.accounts.state_mut(account).share.end_over_share_job();
         }
     }
 
-    /// Takes note of an inherited job beyond its account's share.
+    /// Records an inherited job that exceeded its account's share.
     pub(super) fn inherit_share(&mut self, account: AccountKey) {
-        self.accounts.state_mut(account).share.add_beyond();
+        self.accounts.state_mut(account).share.add_over_share_job();
     }
 }
--- a/crates/chervilfall_planner/src/planner/turns.rs
+++ b/crates/chervilfall_planner/src/planner/activation.rs
@@ -1,4 +1,4 @@
-//! Steps whose turn comes: when a job is stored, an occurrence falls due, or earlier steps are complete.
+//! Activation of steps: when a job is stored, an occurrence is due, or earlier steps are complete.
 
 use crate::ids::JobId;
 use crate::planner::Planner;
@@ -6,7 +6,7 @@
 use crate::tasks::{StepKey, StepProgress};
 
 impl Planner {
-    /// Puts a job's steps whose turn has come in the queue.
+    /// Opens the steps of a stored job that can start, or schedules its first occurrence.
     pub(super) fn activate(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -20,22 +20,23 @@
             return;
         }
         let due = (job.spec.due_unix_ms(0), id, 0);
-        self.due.insert(due);
+        self.due_occurrences.insert(due);
     }
 
-    pub(super) fn open_due(&mut self) {
-        while let Some((due_unix_ms, id, occurrence)) = self.due.first().copied() {
+    pub(super) fn open_due_occurrences(&mut self) {
+        while let Some((due_unix_ms, id, occurrence)) = self.due_occurrences.first().copied() {
             if due_unix_ms > self.unix_ms {
                 return;
             }
-            self.due.pop_first();
+            self.due_occurrences.pop_first();
             self.open_occurrence(id, occurrence);
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
             let next = occurrence + 1;
             if next < job.spec.occurrences() {
-                self.due.insert((job.spec.due_unix_ms(next), id, next));
+                self.due_occurrences
+                    .insert((job.spec.due_unix_ms(next), id, next));
             }
         }
     }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Queues a step if its turn has come and tasks of it wait.
+    /// Opens a step if the steps before it are complete and some of its tasks are waiting.
     pub(super) fn open_step(&mut self, key: StepKey) {
         let Some(job) = self.jobs.get(&key.job) else {
             return;
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Ranks the open steps anew: with time, jobs fall behind those that can still be in time.
+    /// Updates the ranks of the open steps. Jobs that can no longer meet their objective fall
+    /// behind those that still can.
     pub(super) fn rank_open_steps(&mut self) {
         for key in self.open.keys() {
             if let Some(job) = self.jobs.get(&key.job) {
--- a/crates/chervilfall_planner/src/planner/barrier.rs
+++ b/crates/chervilfall_planner/src/planner/barrier.rs
@@ -1,4 +1,5 @@
-//! After a takeover: inherited tasks wait until no run of an earlier holder can be overlooked.
+//! Barrier after a takeover: inherited tasks wait until every run of an earlier holder is either
+//! known or has certainly lost its lease.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +9,20 @@
 use crate::limits::Limits;
 use crate::planner::Planner;
 
-/// Endpoints that may run what an earlier holder started.
+/// Endpoints that may have runs started by an earlier holder.
 #[derive(Debug)]
 pub(crate) struct Barrier {
     lapse_ms: Millis,
-    /// Endpoints that have not shown their lists yet, and when the leases of those that were silent
-    /// before have lapsed, by the store's clock.
+    /// Endpoints that have not reported their runs yet. For those that the predecessor marked as
+    /// silent, the time by the store's clock at which their leases have lapsed.
     missing: BTreeMap<EndpointKey, Option<Millis>>,
 }
 
 impl Barrier {
-    /// Returns the barrier of a claim. The predecessor counts its leases from the sending of its
-    /// last commit, which was before that commit was seen here; an endpoint's clock may be slow.
+    /// Returns the barrier of a claim, if there was a predecessor. Its lapse time allows for slow
+    /// clocks of endpoints. It is safe to count from when the predecessor's last commit was first
+    /// seen here, because the predecessor counts its leases from when it sent that commit, which
+    /// was earlier.
     pub(crate) fn after(takeover: &Takeover, limits: &Limits) -> Option<Self> {
         let seen_ms = takeover.predecessor_seen_ms?;
         let lapse = |from_ms: Millis, lease_ms: Millis| {
@@ -40,17 +43,17 @@
         self.missing.insert(endpoint, lapses_store_ms);
     }
 
-    /// Takes off endpoints whose leases had lapsed at `store_ms`, when the store carried out a commit of
-    /// this holder, so that no successor had granted them any.
-    fn pass_lapsed(&mut self, store_ms: Millis) {
+    /// Removes endpoints whose leases had lapsed at `store_ms`. A commit of this holder was stored
+    /// then, so no successor had granted them new leases.
+    fn remove_lapsed(&mut self, store_ms: Millis) {
         self.missing
             .retain(|_, lapses_store_ms| lapses_store_ms.is_none_or(|lapses| store_ms < lapses));
     }
 }
 
 impl Planner {
-    /// Notes that an endpoint has shown what runs on it, or that its incarnation is over.
-    pub(super) fn pass_barrier(&mut self, endpoint: EndpointKey) {
+    /// Removes an endpoint that has reported its runs, or whose incarnation has been replaced.
+    pub(super) fn remove_from_barrier(&mut self, endpoint: EndpointKey) {
         if let Some(barrier) = &mut self.barrier {
             barrier.missing.remove(&endpoint);
         }
@@ -61,10 +64,10 @@
             return;
         };
         if let Some((store_ms, _)) = self.store_clock {
-            barrier.pass_lapsed(store_ms);
+            barrier.remove_lapsed(store_ms);
         }
-        // The lapse counts once a later commit shows that no successor extends leases meanwhile.
-        let lapsed = self.covered_from_ms >= barrier.lapse_ms;
+        // The lapse counts only once a later commit shows that no successor has extended leases.
+        let lapsed = self.claim_confirmed_ms >= barrier.lapse_ms;
         if !barrier.missing.is_empty() && !lapsed {
             return;
         }
--- a/crates/chervilfall_planner/src/planner/batch.rs
+++ b/crates/chervilfall_planner/src/planner/batch.rs
@@ -1,4 +1,4 @@
-//! Changes of a commit, within the store's limits.
+//! Building of batches: the changes of a commit, within the store's limits.
 
 use std::collections::BTreeSet;
 
@@ -9,11 +9,12 @@
 use crate::record::{JOBS, PROGRESS, TEXTS};
 use crate::tasks::JobRows;
 
-/// Most changes of one job beside a first one: its end is written, and its other rows are dropped.
-const JOB_CHANGES: usize = 3;
+/// Upper limit on the changes of one job after its first: its end is written, and its up to three
+/// other rows are removed.
+const MAX_FURTHER_JOB_CHANGES: usize = 3;
 
 /// Collects the changes of a batch within the store's limits.
-pub(super) struct Builder {
+pub(super) struct BatchBuilder {
     rows: usize,
     bytes: usize,
     pub(super) changes: Vec<RowChange>,
@@ -23,7 +24,7 @@
     pub(super) grantable: BTreeSet<EndpointKey>,
 }
 
-impl Builder {
+impl BatchBuilder {
     pub(super) const fn new(rows: usize, bytes: usize) -> Self {
         Self {
             rows,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Returns how many rows can still be put.
+    /// Returns how many rows can still be added.
     pub(super) fn rows_left(&self) -> usize {
         self.rows.saturating_sub(self.changes.len() + 1)
     }
@@ -45,7 +46,7 @@
         self.has_room_for(0)
     }
 
-    /// Returns whether there is room for another row beside `more` that are still to be put.
+    /// Returns whether another row fits, besides `more` rows that are still to be added.
     pub(super) fn has_room_for(&self, more: usize) -> bool {
         self.changes.len() + more + 1 < self.rows && self.bytes > 0
     }
@@ -56,13 +57,13 @@
             .push(RowChange::Put(RowKey { table, key }, value));
     }
 
-    /// Returns whether there is room for one job's rows.
+    /// Returns whether all rows of one more job fit.
     pub(super) fn has_room_for_job(&self) -> bool {
-        self.has_room_for(JOB_CHANGES)
+        self.has_room_for(MAX_FURTHER_JOB_CHANGES)
     }
 
-    /// Drops the rows that an open job has.
-    pub(super) fn remove_open(&mut self, id: JobId, rows: JobRows) {
+    /// Removes the rows of an open job.
+    pub(super) fn remove_open_job(&mut self, id: JobId, rows: JobRows) {
         if rows.open {
             self.remove(JOBS, id);
             self.remove(TEXTS, id);
--- a/crates/chervilfall_planner/src/planner/commits.rs
+++ b/crates/chervilfall_planner/src/planner/commits.rs
@@ -1,4 +1,4 @@
-//! Group commits.
+//! Group commits: changes are collected and written to the store in batches.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,31 +7,31 @@
 use crate::election::HolderRow;
 use crate::endpoint::EndpointKey;
 use crate::ids::{JobId, Millis, RowVersion, Run, TaskKey};
-use crate::meters;
-use crate::planner::batch::Builder;
-use crate::planner::gap::Resumed;
+use crate::metrics;
+use crate::planner::batch::BatchBuilder;
+use crate::planner::takeover_gap::ServiceMilestone;
 use crate::planner::Planner;
 use crate::record::{
     encode, Owner, RosterBucket, RosterEntry, CLAIMS, ENDED, HOLDER, JOBS, PROGRESS, ROSTER, TEXTS,
 };
 use crate::starts::STARTS;
 
-/// Factor on what recent commits took.
-const COMMIT_COPY_FACTOR: u64 = 2;
-/// Time of a commit that is worth a line in the log: a hundred times what a sound store takes.
+/// Factor of the recent commit duration after which another copy of a commit is sent.
+const COPY_INTERVAL_FACTOR: u64 = 2;
+/// Duration from which on a commit is logged as slow: a hundred times that of a healthy store.
 const SLOW_COMMIT_MS: Millis = 400;
-/// Thirds of a commit that are kept for what became of earlier jobs, if there is something to tell.
+/// Thirds of a commit that are reserved for the progress of earlier jobs, if there is any.
 const PROGRESS_THIRDS: usize = 2;
-/// Most doublings of the distance between copies.
-const COMMIT_COPY_DOUBLINGS: usize = 2;
+/// Upper limit on how often the interval between copies is doubled.
+const MAX_COPY_DOUBLINGS: usize = 2;
 
-/// A batch on its way, and what follows when it is stored.
+/// A batch that has been sent to the store, and what follows when it is stored.
 #[derive(Debug)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightCommit {
     batch: Batch,
     pub(crate) first_sent_ms: Millis,
-    /// Copies whose answers are awaited.
-    awaited: usize,
+    /// Number of copies that have not been answered.
+    unanswered_copies: usize,
     /// When each copy was sent.
     sent_ms: Vec<Millis>,
     /// When another copy is due.
@@ -39,31 +39,33 @@
     new_jobs: BTreeSet<JobId>,
     progress: Vec<(JobId, Option<JobState>, bool)>,
     acknowledgements: BTreeMap<EndpointKey, u64>,
-    /// Starts that may be ordered once it is stored.
+    /// Starts that may be ordered once the batch is stored.
     announced: Vec<(TaskKey, EndpointKey, Run)>,
-    /// Endpoints that may be granted leases once it is stored.
+    /// Endpoints that may be granted leases once the batch is stored.
     grantable: BTreeSet<EndpointKey>,
     releases: bool,
 }
 
-impl Flight {
-    pub(crate) fn holds_new(&self, id: JobId) -> bool {
+impl InFlightCommit {
+    pub(crate) fn contains_new_job(&self, id: JobId) -> bool {
         self.new_jobs.contains(&id)
     }
 }
 
 impl Planner {
     pub(super) fn commit_if_due(&mut self) {
-        let copy_ms = self.commit_copy_ms();
-        if let Some(flight) = &mut self.flight {
-            if self.now >= flight.next_copy_ms && flight.awaited < self.limits.commit_copies {
-                // Each copy is work for the store, so that they follow at growing distances.
-                let doubled_ms = copy_ms << flight.awaited.min(COMMIT_COPY_DOUBLINGS);
-                flight.awaited += 1;
-                flight.next_copy_ms = self.now + doubled_ms;
-                flight.batch.copy = flight.sent_ms.len();
-                flight.sent_ms.push(self.now);
-                self.actions.push(Action::Commit(flight.batch.clone()));
+        let copy_ms = self.commit_copy_interval_ms();
+        if let Some(commit) = &mut self.in_flight {
+            if self.now >= commit.next_copy_ms
+                && commit.unanswered_copies < self.limits.commit_copies
+            {
+                // Copies add load to the store, so the interval between them grows.
+                let doubled_ms = copy_ms << commit.unanswered_copies.min(MAX_COPY_DOUBLINGS);
+                commit.unanswered_copies += 1;
+                commit.next_copy_ms = self.now + doubled_ms;
+                commit.batch.copy = commit.sent_ms.len();
+                commit.sent_ms.push(self.now);
+                self.actions.push(Action::Commit(commit.batch.clone()));
             }
             return;
         }
@@ -77,20 +79,20 @@
 
     fn send_batch(&mut self) {
         self.holder.number += 1;
-        let mut builder = Builder::new(self.limits.commit_rows, self.limits.commit_bytes);
-        // Endpoints can be used only once they stand in the roster, so it comes before jobs.
+        let mut builder = BatchBuilder::new(self.limits.commit_rows, self.limits.commit_bytes);
+        // Endpoints can be used only once they are in the stored roster, so it precedes jobs.
         self.add_roster(&mut builder);
         self.add_starts(&mut builder);
         self.add_new_jobs(&mut builder);
         self.add_progress(&mut builder);
-        self.add_removed(&mut builder);
+        self.add_removals(&mut builder);
         let acknowledgements = self.unsaved.take_acknowledgements();
         let complete = self.unsaved.new_jobs.is_empty() && self.unsaved.progress.is_empty();
         let releases = self.releasing && complete;
         let row = HolderRow {
             released: releases,
             settled: self.barrier.is_none(),
-            standstill_ms: self.commit_gaps.standstill_ms(),
+            standstill_ms: self.commit_gaps.stall_timeout_ms(),
             written_store_ms: self.store_now_ms(),
             ..self.holder.clone()
         };
@@ -104,12 +106,12 @@
         };
         self.last_batch_ms = self.now;
         self.actions.push(Action::Commit(batch.clone()));
-        self.flight = Some(Flight {
+        self.in_flight = Some(InFlightCommit {
             batch,
             first_sent_ms: self.now,
-            awaited: 1,
+            unanswered_copies: 1,
             sent_ms: vec![self.now],
-            next_copy_ms: self.now + self.commit_copy_ms(),
+            next_copy_ms: self.now + self.commit_copy_interval_ms(),
             new_jobs: builder.new_jobs,
             progress: builder.progress,
             acknowledgements,
@@ -119,21 +121,22 @@
         });
     }
 
-    /// Returns when to send another copy: after some times what recent commits took.
-    fn commit_copy_ms(&self) -> Millis {
-        let usual_ms = self.commit_took_ms * COMMIT_COPY_FACTOR;
-        usual_ms.clamp(self.limits.commit_copy_ms, self.limits.commit_timeout_ms)
+    /// Returns the interval until another copy is sent, a multiple of the recent commit duration.
+    fn commit_copy_interval_ms(&self) -> Millis {
+        let interval_ms = self.commit_duration_ms * COPY_INTERVAL_FACTOR;
+        interval_ms.clamp(self.limits.commit_copy_ms, self.limits.commit_timeout_ms)
     }
 
-    /// Returns the store's clock as far as it is known, else 0.
+    /// Returns an estimate of the store's clock, or 0 if it has not been read.
     pub(super) fn store_now_ms(&self) -> Millis {
         self.store_clock.map_or(0, |(theirs_ms, at_ms)| {
             theirs_ms + self.now.saturating_sub(at_ms)
         })
     }
 
-    fn add_new_jobs(&mut self, builder: &mut Builder) {
-        // A job's end takes up to twice the changes of its acceptance: more must not come than end.
+    fn add_new_jobs(&mut self, builder: &mut BatchBuilder) {
+        // The end of a job takes up to twice the changes of its acceptance. Without the reserve,
+        // jobs would be accepted faster than their ends can be stored.
         let reserved = if self.unsaved.progress.is_empty() {
             0
         } else {
@@ -154,7 +157,7 @@
         }
     }
 
-    fn add_progress(&mut self, builder: &mut Builder) {
+    fn add_progress(&mut self, builder: &mut BatchBuilder) {
         while builder.has_room_for_job() {
             let Some(id) = self.unsaved.progress.pop_first() else {
                 return;
@@ -173,7 +176,7 @@
                     job.rows.progress = true;
                 } else {
                     builder.put(ENDED, id.to_string(), row);
-                    builder.remove_open(id, std::mem::take(&mut job.rows));
+                    builder.remove_open_job(id, std::mem::take(&mut job.rows));
                 }
                 builder.progress.push((id, job.outcome, job.cancelled));
                 let announced = self.announced.iter().filter(|(task, _)| task.job == id);
@@ -184,7 +187,7 @@
     }
 
     /// Adds the buckets of the roster that have changed.
-    fn add_roster(&mut self, builder: &mut Builder) {
+    fn add_roster(&mut self, builder: &mut BatchBuilder) {
         let mut rows: BTreeMap<RosterBucket, Vec<RosterEntry>> = BTreeMap::new();
         while builder.has_room_for(rows.len()) {
             let Some(bucket) = self.unsaved.roster.pop_first() else {
@@ -202,7 +205,7 @@
             if endpoint.lapses_store_ms.is_none() {
                 builder.grantable.insert(key);
             } else {
-                // From here on the store may say so.
+                // The stored roster may list it as silent from now on.
                 endpoint.rostered = false;
             }
             row.push(RosterEntry {
@@ -217,7 +220,7 @@
         }
     }
 
-    fn add_starts(&mut self, builder: &mut Builder) {
+    fn add_starts(&mut self, builder: &mut BatchBuilder) {
         let store_ms = self.store_now_ms();
         while builder.has_room() {
             let Some((key, value)) = self.start_ring.take_row(store_ms) else {
@@ -227,99 +230,105 @@
         }
     }
 
-    fn add_removed(&mut self, builder: &mut Builder) {
+    fn add_removals(&mut self, builder: &mut BatchBuilder) {
         while builder.has_room_for_job() {
             let Some((id, rows)) = self.unsaved.removed.pop() else {
                 return;
             };
             builder.remove(ENDED, id);
-            builder.remove_open(id, rows);
+            builder.remove_open_job(id, rows);
         }
     }
 
-    pub(super) fn committed(&mut self, number: u64, copy: usize, outcome: CommitOutcome) {
-        let Some(flight) = &mut self.flight else {
+    pub(super) fn handle_commit_outcome(
+        &mut self,
+        number: u64,
+        copy: usize,
+        outcome: CommitOutcome,
+    ) {
+        let Some(commit) = &mut self.in_flight else {
             return;
         };
-        if flight.batch.number != number {
+        if commit.batch.number != number {
             return;
         }
-        flight.awaited = flight.awaited.saturating_sub(1);
-        if let (CommitOutcome::Stored { .. }, Some(sent_ms)) = (&outcome, flight.sent_ms.get(copy))
+        commit.unanswered_copies = commit.unanswered_copies.saturating_sub(1);
+        if let (CommitOutcome::Stored { .. }, Some(sent_ms)) = (&outcome, commit.sent_ms.get(copy))
         {
             let took_ms = self.now.saturating_sub(*sent_ms);
-            self.commit_took_ms = took_ms.max(self.commit_took_ms * 3 / 4);
+            self.commit_duration_ms = took_ms.max(self.commit_duration_ms * 3 / 4);
         }
         match outcome {
             CommitOutcome::Stored { version, store_ms } => {
-                let sent_ms = flight.sent_ms.get(copy).copied();
-                self.store_ahead = sent_ms.map(|sent_ms| (store_ms, sent_ms));
+                let sent_ms = commit.sent_ms.get(copy).copied();
+                self.store_clock_bound = sent_ms.map(|sent_ms| (store_ms, sent_ms));
                 self.store_clock = Some((store_ms, self.now));
-                self.stored(version);
+                self.handle_stored(version);
             }
-            CommitOutcome::Conflict(found) => self.conflict(found),
+            CommitOutcome::Conflict(found) => self.handle_conflict(found),
             CommitOutcome::NotDone | CommitOutcome::Unknown => {
-                if flight.awaited == 0 {
-                    flight.next_copy_ms = self.now + self.limits.commit_retry_ms;
+                if commit.unanswered_copies == 0 {
+                    commit.next_copy_ms = self.now + self.limits.commit_retry_ms;
                 }
-                log::debug!(number = number, outcome = outcome.word(); "commit not answered with success");
+                log::debug!(number = number, outcome = outcome.label(); "commit not answered with success");
             }
         }
     }
 
-    fn conflict(&mut self, found: Option<(RowVersion, Vec<u8>)>) {
+    fn handle_conflict(&mut self, found: Option<(RowVersion, Vec<u8>)>) {
         let row = found.and_then(|(version, bytes)| {
             let row = HolderRow::decode(&bytes);
             row.map(|row| (version, row)).ok()
         });
         match row {
-            Some((version, row)) if self.is_own(&row) => self.stored(version),
+            Some((version, row)) if self.is_own_row(&row) => self.handle_stored(version),
             _ => self.step_down(StepDownReason::ClaimLost),
         }
     }
 
-    /// Returns whether the row was written by the batch on its way: an earlier copy was carried out.
-    fn is_own(&self, row: &HolderRow) -> bool {
-        let number = self.flight.as_ref().map(|flight| flight.batch.number);
+    /// Returns whether the row was written by the batch in flight, so that an earlier copy of it
+    /// was stored.
+    fn is_own_row(&self, row: &HolderRow) -> bool {
+        let number = self.in_flight.as_ref().map(|commit| commit.batch.number);
         row.incarnation == self.holder.incarnation
             && row.term == self.holder.term
             && Some(row.number) == number
     }
 
-    fn stored(&mut self, version: RowVersion) {
-        let Some(flight) = self.flight.take() else {
+    fn handle_stored(&mut self, version: RowVersion) {
+        let Some(commit) = self.in_flight.take() else {
             return;
         };
-        let took_ms = self.now.saturating_sub(flight.first_sent_ms);
+        let took_ms = self.now.saturating_sub(commit.first_sent_ms);
         self.commit_gaps.note(self.now);
         if took_ms > SLOW_COMMIT_MS {
-            log::warn!(number = flight.batch.number, took_ms = took_ms; "commit was slow");
+            log::warn!(number = commit.batch.number, took_ms = took_ms; "commit was slow");
         }
-        meters::commit(took_ms);
+        metrics::commit(took_ms);
         self.version = version;
         self.start_ring.stored();
-        self.covered_from_ms = flight.first_sent_ms;
-        for id in flight.new_jobs {
-            self.job_stored(id);
+        self.claim_confirmed_ms = commit.first_sent_ms;
+        for id in commit.new_jobs {
+            self.handle_job_stored(id);
         }
-        for (id, outcome, cancelled) in flight.progress {
-            self.progress_stored(id, outcome, cancelled);
+        for (id, outcome, cancelled) in commit.progress {
+            self.handle_progress_stored(id, outcome, cancelled);
         }
-        for (task, endpoint, run) in flight.announced {
+        for (task, endpoint, run) in commit.announced {
             self.start_announced(endpoint, task, run);
         }
-        for (key, number) in flight.acknowledgements {
+        for (key, number) in commit.acknowledgements {
             if let Some(endpoint) = self.endpoints.get_mut(key) {
                 endpoint.acknowledged = endpoint.acknowledged.max(number);
-                endpoint.next_hold_ms = endpoint.gathered_ms(self.now, &self.limits);
+                endpoint.next_hold_ms = endpoint.batched_hold_due_ms(self.now, &self.limits);
             }
         }
-        for key in flight.grantable {
+        for key in commit.grantable {
             if let Some(endpoint) = self.endpoints.get_mut(key) {
                 endpoint.rostered = true;
             }
         }
-        if flight.releases {
+        if commit.releases {
             self.step_down(StepDownReason::Released);
             return;
         }
@@ -327,13 +336,13 @@
         self.send_holds();
     }
 
-    fn job_stored(&mut self, id: JobId) {
+    fn handle_job_stored(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         job.stored = true;
         let submitters = std::mem::take(&mut job.submitters);
-        meters::accepted(self.now.saturating_sub(job.accepted_ms));
+        metrics::accepted(self.now.saturating_sub(job.accepted_ms));
         log::info!(
             job:% = id, queue = job.queue.name.as_str(), service = job.queue.service.as_str(),
             configuration = self.config.version, steps = job.spec.steps.len(), waited_ms = self.now.saturating_sub(job.accepted_ms);
@@ -342,15 +351,15 @@
         for to in submitters {
             self.reply(to, Answer::Accepted);
         }
-        self.resumed(Resumed::Accepted);
+        self.record_resumption(ServiceMilestone::Accepted);
         self.activate(id);
     }
 
-    fn progress_stored(&mut self, id: JobId, outcome: Option<JobState>, cancelled: bool) {
+    fn handle_progress_stored(&mut self, id: JobId, outcome: Option<JobState>, cancelled: bool) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.shown = outcome;
+        job.visible_outcome = outcome;
         if !cancelled {
             return;
         }
@@ -361,7 +370,7 @@
                 answer: Answer::Accepted,
             });
         }
-        let answer = if job.awaited {
+        let answer = if job.pre_cancelled {
             Answer::Unknown
         } else {
             Answer::Cancelled
--- a/crates/chervilfall_planner/src/planner/history.rs
+++ b/crates/chervilfall_planner/src/planner/history.rs
@@ -1,8 +1,9 @@
-//! What a new holder reads while it serves already: texts of inherited jobs, and jobs that have ended.
+//! Rows that a new holder reads while it already serves requests: texts of inherited jobs, and
+//! finished jobs.
 //!
-//! Which rows a promise needs: a task is started only with its text, so that a job whose text has not been read waits. A
-//! job's name is taken for new only once no row of an ended job bears it; until all these rows have been read, a request
-//! that names an unknown job waits for a look at its one row.
+//! A task is started only with its text, so a job whose text has not been read waits. A job's name
+//! counts as new only if no finished job has it. Until all rows of finished jobs have been read, a
+//! request that names an unknown job waits for a lookup of that job's row.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,56 +15,58 @@
 use crate::planner::Planner;
 use crate::record::ProgressRow;
 
-/// Most texts that are read before the others at the same time.
-const MOST_HURRIED: usize = 16;
-/// Time until a text that did not come is asked for again: one that cannot be read never comes.
+/// Upper limit on the texts that are read ahead of the others at the same time.
+const MAX_PRIORITIZED_TEXTS: usize = 16;
+/// Time until a text whose read failed is requested again. A text that cannot be read fails every
+/// time.
 const TEXT_RETRY_MS: Millis = 1_000;
 
-/// What a look at the row of an ended job shows.
+/// Result of a lookup of a finished job's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Look {
+pub enum LookupResult {
     /// The row.
     Ended(ProgressRow),
-    /// There is none.
+    /// There is no such row.
     Absent,
-    /// The store has not answered.
+    /// The store did not answer.
     Failed,
 }
 
-/// What is known of jobs that earlier holders have ended.
+/// Knowledge of the jobs that finished under earlier holders.
 #[derive(Debug, Default)]
 pub(super) struct History {
-    /// All rows have been read.
-    whole: bool,
-    /// Jobs whose texts are being read before the others.
-    hurried: BTreeSet<JobId>,
-    /// Jobs whose texts did not come, and when they were asked for.
-    textless: BTreeMap<JobId, Millis>,
-    /// Names that no row bears.
+    /// Whether all rows of finished jobs have been read.
+    complete: bool,
+    /// Jobs whose texts are being read ahead of the others.
+    prioritized: BTreeSet<JobId>,
+    /// Jobs whose texts could not be read, and when the last read failed.
+    missing_texts: BTreeMap<JobId, Millis>,
+    /// Jobs that a lookup did not find.
     absent: BTreeSet<JobId>,
-    /// Requests that wait for a look.
+    /// Requests that wait for a lookup.
     waiting: BTreeMap<JobId, Vec<(ReplyTo, Request)>>,
 }
 
 impl History {
-    /// Returns whether it is known if a job has ended that is not at hand.
-    fn tells(&self, id: JobId) -> bool {
-        self.whole || self.absent.contains(&id)
+    /// Returns whether a job that is not in memory is known not to have finished earlier.
+    fn is_known_absent(&self, id: JobId) -> bool {
+        self.complete || self.absent.contains(&id)
     }
 
-    /// Takes the requests that wait.
+    /// Removes and returns the waiting requests.
     pub(super) fn take_waiting(&mut self) -> impl Iterator<Item = (ReplyTo, Request)> {
         std::mem::take(&mut self.waiting).into_values().flatten()
     }
 }
 
 impl Planner {
-    /// Lets a request wait that names a job of which it is not known yet whether it has ended; returns whether it does.
-    pub(super) fn waits_for_history(&mut self, to: ReplyTo, request: &Request) -> bool {
+    /// Defers a request if it is unknown whether the job that it names has finished earlier.
+    /// Returns whether the request was deferred.
+    pub(super) fn defer_until_looked_up(&mut self, to: ReplyTo, request: &Request) -> bool {
         let Some(id) = request.job() else {
             return false;
         };
-        if self.jobs.contains_key(&id) || self.history.tells(id) {
+        if self.jobs.contains_key(&id) || self.history.is_known_absent(id) {
             return false;
         }
         let waiting = self.history.waiting.entry(id).or_default();
@@ -74,62 +77,64 @@
         true
     }
 
-    pub(super) fn looked_up(&mut self, id: JobId, look: Look) {
+    pub(super) fn handle_lookup_result(&mut self, id: JobId, result: LookupResult) {
         let waiting = self.history.waiting.remove(&id).unwrap_or_default();
-        match look {
-            Look::Ended(row) => self.take_ended(vec![(id, row)]),
-            Look::Absent => {
+        match result {
+            LookupResult::Ended(row) => self.restore_ended(vec![(id, row)]),
+            LookupResult::Absent => {
                 self.history.absent.insert(id);
             }
-            Look::Failed => {
+            LookupResult::Failed => {
                 for (to, request) in waiting {
-                    self.reply(to, not_looked_up(&request));
+                    self.reply(to, lookup_failed_answer(&request));
                 }
                 return;
             }
         }
         for (to, request) in waiting {
-            self.request(to, request);
+            self.handle_request(to, request);
         }
     }
 
-    /// Takes in rows of jobs that have ended.
-    pub(super) fn take_ended(&mut self, rows: Vec<(JobId, ProgressRow)>) {
+    /// Restores finished jobs from their rows.
+    pub(super) fn restore_ended(&mut self, rows: Vec<(JobId, ProgressRow)>) {
         for (id, row) in rows {
             if !self.jobs.contains_key(&id) {
-                self.restore_finished(id, &row);
+                self.restore_finished_job(id, &row);
                 self.activate(id);
             }
         }
     }
 
-    /// Has the text of a job read before the others: its turn has come.
-    pub(super) fn want_text(&mut self, id: JobId) {
-        let asked_ms = self.history.textless.get(&id);
+    /// Requests the text of a job ahead of the others, because the job has tasks to start.
+    pub(super) fn request_text(&mut self, id: JobId) {
+        let asked_ms = self.history.missing_texts.get(&id);
         if asked_ms.is_some_and(|asked_ms| self.now < asked_ms + TEXT_RETRY_MS) {
             return;
         }
-        if self.history.hurried.len() < MOST_HURRIED && self.history.hurried.insert(id) {
+        if self.history.prioritized.len() < MAX_PRIORITIZED_TEXTS
+            && self.history.prioritized.insert(id)
+        {
             self.actions.push(Action::ReadText(id));
         }
     }
 
-    /// Takes in the text of a job whose turn had come; if it was not read, it is asked for again.
-    pub(super) fn text_read(&mut self, id: JobId, text: Option<Arc<str>>) {
-        self.history.hurried.remove(&id);
+    /// Handles the result of [`Self::request_text`]. A failed read can be requested again later.
+    pub(super) fn handle_text_read(&mut self, id: JobId, text: Option<Arc<str>>) {
+        self.history.prioritized.remove(&id);
         match text {
             Some(text) => {
-                self.history.textless.remove(&id);
-                self.take_texts(vec![(id, text)]);
+                self.history.missing_texts.remove(&id);
+                self.add_texts(vec![(id, text)]);
             }
             None => {
-                self.history.textless.insert(id, self.now);
+                self.history.missing_texts.insert(id, self.now);
             }
         }
     }
 
-    /// Takes in texts of inherited jobs.
-    pub(super) fn take_texts(&mut self, texts: Vec<(JobId, Arc<str>)>) {
+    /// Adds texts of inherited jobs.
+    pub(super) fn add_texts(&mut self, texts: Vec<(JobId, Arc<str>)>) {
         for (id, text) in texts {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.text.get_or_insert(text);
@@ -138,23 +143,23 @@
         self.schedule_due = true;
     }
 
-    /// Notes that all texts have been read: a job without one has none.
-    pub(super) fn texts_read(&mut self) {
+    /// Records that all texts have been read: a job without a text gets an empty one.
+    pub(super) fn handle_all_texts_read(&mut self) {
         for job in self.jobs.values_mut() {
             job.text.get_or_insert_with(|| Arc::from(""));
         }
         self.schedule_due = true;
     }
 
-    /// Notes that all rows of ended jobs have been read.
-    pub(super) fn history_read(&mut self) {
-        self.history.whole = true;
+    /// Records that all rows of finished jobs have been read.
+    pub(super) fn handle_history_read(&mut self) {
+        self.history.complete = true;
         self.history.absent.clear();
     }
 }
 
-/// Answers a request about a job that could not be looked up: nothing was done.
-pub(super) const fn not_looked_up(request: &Request) -> Answer {
+/// Returns the answer to a request about a job that could not be looked up; nothing was changed.
+pub(super) const fn lookup_failed_answer(request: &Request) -> Answer {
     match request {
         Request::Submit { .. } => Answer::Refused { retry_ms: RETRY_MS },
         Request::Cancel { .. } => Answer::NotCancelled { retry_ms: RETRY_MS },
--- a/crates/chervilfall_planner/src/planner/leases.rs
+++ b/crates/chervilfall_planner/src/planner/leases.rs
@@ -1,30 +1,32 @@
-//! Leases: granted by holds, lapsed, and what the roster says of silent endpoints.
+//! Leases: granting them by holds, detecting lapsed ones, and marking silent endpoints in the
+//! roster.
 
 use crate::action::{Action, HoldOrder};
 use crate::ids::Millis;
-use crate::meters;
-use crate::placed::{LossReason, RunPhase};
+use crate::metrics;
+use crate::placed_run::{LossReason, RunPhase};
 use crate::planner::Planner;
 use crate::record::RosterBucket;
 use crate::starts::READ_BACK_MS;
 
-/// Wait of a hold while the end of a stop is awaited, which an absent run never announces.
-const SETTLE_WAIT_MS: Millis = 150;
-/// Age of the last stored commit from which on no endpoint is marked as silent: some renewals
-/// in a row.
-const MARK_CLAIM_AGE_MS: Millis = 800;
-/// Silence after which the lease of an endpoint is looked at.
-const LAPSE_CHECK_MS: Millis = 1_000;
+/// Wait time of a hold while a run is being stopped. It is short because no end is reported if the
+/// endpoint does not have the run.
+const STOP_WAIT_MS: Millis = 150;
+/// Age of the last stored commit above which no endpoint is marked as silent: several renewals in a
+/// row.
+const MAX_MARK_CLAIM_AGE_MS: Millis = 800;
+/// Silence after which the lease of an endpoint is checked.
+const LAPSE_CHECK_SILENCE_MS: Millis = 1_000;
 
 impl Planner {
-    /// Bound on our clock that no lease may exceed.
-    pub(super) const fn cover_until_ms(&self) -> Millis {
-        self.covered_from_ms + self.limits.claim_cover_ms
+    /// Returns the time by this node's clock that no lease may exceed.
+    pub(super) const fn lease_bound_ms(&self) -> Millis {
+        self.claim_confirmed_ms + self.limits.claim_cover_ms
     }
 
     pub(super) fn send_holds(&mut self) {
         let now = self.now;
-        let bound_ms = self.cover_until_ms();
+        let bound_ms = self.lease_bound_ms();
         let lease_ms = self.limits.lease_ms.min(self.limits.lease_max_ms);
         let mut first_holds = self.first_holds_left(false);
         let mut repeated_holds = self.first_holds_left(true);
@@ -36,8 +38,8 @@
                 continue;
             };
             if !endpoint.contacted {
-                // Those that do not answer must not keep the others waiting.
-                let left = if endpoint.missed {
+                // Endpoints that do not answer must not delay the others.
+                let left = if endpoint.hold_unanswered {
                     &mut repeated_holds
                 } else {
                     &mut first_holds
@@ -47,7 +49,7 @@
                 }
                 *left -= 1;
             }
-            // An endpoint that does not answer is granted nothing more, so that its leases lapse.
+            // A silent endpoint is granted no further leases, so that its current leases lapse.
             let silent = endpoint.is_silent(now, &self.limits);
             let until_ms = if silent || !endpoint.rostered {
                 None
@@ -58,14 +60,16 @@
                 .placed
                 .values()
                 .any(|placed| matches!(placed.phase, RunPhase::Stopping { .. }));
-            let wait_ms =
-                if silent || !endpoint.contacted || endpoint.taken_in > endpoint.acknowledged {
-                    0
-                } else if settling {
-                    SETTLE_WAIT_MS
-                } else {
-                    self.limits.hold_wait_ms
-                };
+            let wait_ms = if silent
+                || !endpoint.contacted
+                || endpoint.last_end_received > endpoint.acknowledged
+            {
+                0
+            } else if settling {
+                STOP_WAIT_MS
+            } else {
+                self.limits.hold_wait_ms
+            };
             endpoint.hold_sent_ms = Some(now);
             self.actions.push(Action::Hold(HoldOrder {
                 endpoint: key,
@@ -80,37 +84,40 @@
         }
     }
 
-    /// Returns how many endpoints that have not answered yet may be held now: for the first time, or again.
+    /// Returns how many more endpoints that have not answered this holder may be held now. Those
+    /// that have left a hold unanswered (`again`) are limited separately.
     fn first_holds_left(&self, again: bool) -> usize {
         let recent = |sent_ms: Millis| self.now < sent_ms + self.limits.first_hold_ms;
         let waiting = self.endpoints.values().filter(|endpoint| {
-            let asked = !endpoint.contacted && endpoint.missed == again;
+            let asked = !endpoint.contacted && endpoint.hold_unanswered == again;
             asked && endpoint.hold_sent_ms.is_some_and(recent)
         });
-        let most = if again {
+        let limit = if again {
             self.limits.repeated_holds
         } else {
             self.limits.first_holds
         };
-        most.saturating_sub(waiting.count())
+        limit.saturating_sub(waiting.count())
     }
 
-    /// Frees what was on endpoints whose leases have surely lapsed.
+    /// Gives up endpoints whose leases have certainly lapsed.
     ///
-    /// A successor may have extended leases that this holder sees lapse. So a lapse counts only once
-    /// a commit that was sent after it is stored, which shows that there was no successor by then.
+    /// A successor may have extended leases that lapse from the view of this holder. So a lapse
+    /// counts only once a commit that was sent after it is stored, which shows that there was no
+    /// successor by then.
     pub(super) fn check_leases(&mut self) {
-        let (now, covered_from_ms) = (self.now, self.covered_from_ms);
+        let (now, claim_confirmed_ms) = (self.now, self.claim_confirmed_ms);
         let mut lapsed = Vec::new();
         for (key, endpoint) in &mut self.endpoints {
-            // Orders to the incarnation before may reach an endpoint until it has answered with a higher token.
+            // Until an endpoint has answered with a higher fencing token, orders to the previous
+            // incarnation may still reach it.
             let settled = endpoint.contacted || (endpoint.has_started_again() && !endpoint.listed);
-            let silent = settled && endpoint.silent_for(now) > LAPSE_CHECK_MS;
-            if endpoint.over || !silent || !endpoint.leases.surely_lapsed(now, &self.limits) {
+            let silent = settled && endpoint.silent_for(now) > LAPSE_CHECK_SILENCE_MS;
+            if endpoint.defunct || !silent || !endpoint.leases.surely_lapsed(now, &self.limits) {
                 continue;
             }
             let lapsed_ms = *endpoint.lapsed_ms.get_or_insert(now);
-            if covered_from_ms >= lapsed_ms {
+            if claim_confirmed_ms >= lapsed_ms {
                 lapsed.push(key);
             }
         }
@@ -121,26 +128,27 @@
                 tasks = endpoint.placed.len();
                 "leases lapsed, endpoint is silent"
             );
-            meters::lapsed();
-            self.clear_endpoint(key, LossReason::Silent);
+            metrics::lapsed();
+            self.give_up_endpoint(key, LossReason::Silent);
         }
-        // An endpoint that has never answered runs nothing of ours.
+        // An endpoint that has never answered runs nothing for this holder.
         for endpoint in self.endpoints.values_mut() {
-            if endpoint.heard_ms.is_none() && !endpoint.listed && self.barrier.is_none() {
-                endpoint.over = true;
+            if endpoint.last_contact_ms.is_none() && !endpoint.listed && self.barrier.is_none() {
+                endpoint.defunct = true;
             }
         }
     }
 
-    /// Lets the roster say of endpoints that have fallen silent when their leases lapse, so that a successor
-    /// need not wait for them as long as for those that this holder may go on to grant leases.
+    /// Marks endpoints that have fallen silent in the roster, with the time at which their leases
+    /// lapse. A successor can then wait for them less long than for endpoints to which this holder
+    /// may have granted further leases.
     pub(super) fn mark_silent(&mut self) {
-        let Some((store_ms, sent_ms)) = self.store_ahead else {
+        let Some((store_ms, sent_ms)) = self.store_clock_bound else {
             return;
         };
         let now = self.now;
-        // While the store is away a mark can neither help a successor nor be taken back.
-        if self.claim_age_ms(now) > MARK_CLAIM_AGE_MS {
+        // While the store does not answer, a mark can neither reach a successor nor be removed.
+        if self.claim_age_ms(now) > MAX_MARK_CLAIM_AGE_MS {
             return;
         }
         let drift_permille = self.limits.drift_permille;
@@ -167,9 +175,10 @@
                 forgettable.push(key);
             }
         }
-        // A successor that comes before the lapse reads no starts of so long ago.
+        // A successor that takes over before these leases lapse does not read starts of that age,
+        // so the runs are recorded with their jobs.
         for key in forgettable {
-            self.note_lost_runs(key, LossReason::Silent);
+            self.record_lost_runs(key, LossReason::Silent);
         }
     }
 }
--- a/crates/chervilfall_planner/src/planner/mod.rs
+++ b/crates/chervilfall_planner/src/planner/mod.rs
@@ -1,15 +1,15 @@
-//! The planner: takes events, returns actions.
+//! The planner: a state machine that handles events and returns actions.
 
 mod accounts;
+mod activation;
+mod advice_targets;
 mod advise;
-mod ask;
 mod barrier;
 mod batch;
 mod commits;
 mod crashes;
 mod endpoints;
 mod ends;
-mod gap;
 mod history;
 mod incarnations;
 mod leases;
@@ -19,7 +19,7 @@
 mod schedule;
 mod stopping;
 mod suspects;
-mod turns;
+mod takeover_gap;
 mod unsaved;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -29,14 +29,14 @@
 
 use crate::action::{Action, Answer, StepDownReason};
 use crate::config::{Configuration, ServiceName};
-use crate::election::{HolderRow, Takeover, REMEMBERED_MS};
+use crate::election::{HolderRow, Takeover, LARGEST_RETENTION_MS};
 use crate::endpoint::{Endpoint, EndpointKey};
 use crate::event::{Event, NodeId};
 use crate::ids::{EndpointId, Fence, JobId, Millis, RowVersion, Run, TaskKey};
 use crate::limits::Limits;
-use crate::meters;
+use crate::metrics;
 use crate::policy::headroom::Headroom;
-use crate::policy::standstill::CommitGaps;
+use crate::policy::stall_timeout::CommitGaps;
 use crate::record::{JobRow, ProgressRow, RosterEntry};
 use crate::starts::{latest, StartNote, StartRing, StartsRow};
 use crate::tasks::Job;
@@ -44,35 +44,35 @@
 use accounts::Accounts;
 use advise::AdviceCall;
 use barrier::Barrier;
-use commits::Flight;
-use gap::Gap;
+use commits::InFlightCommit;
 use history::History;
-pub use history::Look;
+pub use history::LookupResult;
 use open::OpenSteps;
 use stopping::Stopping;
-use unsaved::Unsaved;
+use takeover_gap::TakeoverGap;
+use unsaved::UnsavedChanges;
 
-/// What the rows of a group say.
+/// State of a group, as read from its rows in the store.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Stored {
+pub struct StoredGroup {
     /// Accepted jobs.
     pub jobs: Vec<(JobId, JobRow)>,
-    /// What became of them so far.
+    /// Progress and outcomes of jobs.
     pub progress: Vec<(JobId, ProgressRow)>,
     /// Endpoints that may hold leases.
     pub roster: Vec<RosterEntry>,
-    /// The latest starts, by slot.
+    /// The latest starts, by slot of the ring of start notes.
     pub starts: Vec<(u64, StartsRow)>,
 }
 
-/// What waits in a planner.
+/// Amount of work that is waiting in a planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backlog {
-    /// Steps with tasks that wait for a place.
+    /// Steps with tasks that have not been placed.
     pub open_steps: usize,
-    /// Submissions that wait for a commit.
+    /// Submissions that are not part of a commit yet.
     pub unsaved_jobs: usize,
-    /// Calls for advice on their way.
+    /// Calls to the advice service that are in flight.
     pub advice_calls: usize,
 }
 
@@ -82,8 +82,8 @@
     limits: Limits,
     holder: HolderRow,
     claimed_ms: Millis,
-    /// Processor share of the largest holder of late when the group was claimed.
-    earlier_permille: u64,
+    /// Processor share that the claim of this holder required: that of the largest recent holder.
+    inherited_permille: u64,
     /// Version of the claim row, the condition of the next commit.
     version: RowVersion,
     fence: Fence,
@@ -96,56 +96,56 @@
     open: OpenSteps,
     history: History,
     accounts: Accounts,
-    /// Occurrences that are not due yet, by due time.
-    due: BTreeSet<(u64, JobId, u32)>,
+    /// Next occurrences of repeating jobs that are not due yet, by due time.
+    due_occurrences: BTreeSet<(u64, JobId, u32)>,
     stopping: Stopping,
-    /// Tasks with a run that may have brought down an endpoint, by that endpoint.
+    /// Tasks with a run that may have crashed an endpoint, by that endpoint.
     exposed: BTreeMap<EndpointId, BTreeSet<TaskKey>>,
-    /// Addresses at which an endpoint has crashed of late, and when.
+    /// Addresses at which an endpoint has crashed recently, and when.
     crashed_addresses: BTreeMap<String, Millis>,
     start_ring: StartRing,
-    /// What has not been seen yet since the takeover.
-    gap: Gap,
-    /// Starts that wait until the store has a note of them.
+    takeover_gap: TakeoverGap,
+    /// Placed runs whose starts are ordered once a note of them is stored.
     announced: BTreeMap<TaskKey, (EndpointKey, Run)>,
-    unsaved: Unsaved,
-    flight: Option<Flight>,
-    /// When the last stored commit was first sent, which is what leases and successors count from.
-    covered_from_ms: Millis,
+    unsaved: UnsavedChanges,
+    in_flight: Option<InFlightCommit>,
+    /// When the last stored commit was first sent. Leases of this holder and the waits of a
+    /// successor are counted from this time.
+    claim_confirmed_ms: Millis,
     last_batch_ms: Millis,
     commit_gaps: CommitGaps,
-    /// What hurried work has used, by service.
+    /// Usage by latency-sensitive work, by service.
     headrooms: BTreeMap<ServiceName, Headroom>,
-    /// What recent commits took from the sending of the copy that was answered: rises at once,
+    /// Estimate of the time between sending a copy of a commit and its answer. Rises at once and
     /// falls slowly.
-    commit_took_ms: Millis,
-    /// A reading of the store's clock, and when it arrived.
+    commit_duration_ms: Millis,
+    /// Latest reading of the store's clock, and when it arrived here.
     store_clock: Option<(Millis, Millis)>,
-    /// A reading of the store's clock, and when the call was sent that brought it: the clock was not
-    /// ahead of this then.
-    store_ahead: Option<(Millis, Millis)>,
+    /// Latest reading of the store's clock, and when the call that returned it was sent. It is an
+    /// upper bound of the store's clock at that time.
+    store_clock_bound: Option<(Millis, Millis)>,
     barrier: Option<Barrier>,
     nodes: Vec<NodeId>,
     advice_calls: BTreeMap<u64, AdviceCall>,
     next_advice: u64,
     finished: VecDeque<(Millis, JobId)>,
-    /// Where the last rest lies within its span.
-    spread_permille: u64,
-    /// Jobs that were cancelled before they came.
-    awaited: usize,
-    /// Something has changed that a pass over the open steps should look at soon.
+    /// Position of the last jittered idle hold interval within its range.
+    idle_jitter_permille: u64,
+    /// Number of jobs that were cancelled before they were submitted.
+    pre_cancelled_jobs: usize,
+    /// Whether a change requires a pass over the open steps soon.
     schedule_due: bool,
     last_pass_ms: Millis,
-    last_whole_pass_ms: Millis,
+    last_full_pass_ms: Millis,
     releasing: bool,
     stepped_down: bool,
     actions: Vec<Action>,
 }
 
 impl Planner {
-    /// Returns the planner of a group that was claimed at `now`, with what the rows say.
+    /// Returns the planner of a group that was claimed at `now`, restored from its rows.
     #[must_use]
-    pub fn new(limits: Limits, takeover: Takeover, stored: Stored, now: Millis) -> Self {
+    pub fn new(limits: Limits, takeover: Takeover, stored: StoredGroup, now: Millis) -> Self {
         let barrier = Barrier::after(&takeover, &limits);
         let last_commit_store_ms = takeover.predecessor_written_store_ms;
         let mut planner = Self {
@@ -153,7 +153,7 @@
             fence: takeover.fence,
             version: takeover.version,
             claimed_ms: now,
-            earlier_permille: takeover.row.wanted_permille,
+            inherited_permille: takeover.row.wanted_permille,
             holder: HolderRow {
                 recovering: false,
                 ..takeover.row
@@ -167,32 +167,32 @@
             open: OpenSteps::default(),
             history: History::default(),
             accounts: Accounts::default(),
-            due: BTreeSet::new(),
+            due_occurrences: BTreeSet::new(),
             stopping: Stopping::default(),
             exposed: BTreeMap::new(),
             crashed_addresses: BTreeMap::new(),
             start_ring: StartRing::after(&stored.starts),
-            gap: Gap::after(last_commit_store_ms),
+            takeover_gap: TakeoverGap::after(last_commit_store_ms),
             announced: BTreeMap::new(),
-            unsaved: Unsaved::default(),
-            flight: None,
-            covered_from_ms: now,
+            unsaved: UnsavedChanges::default(),
+            in_flight: None,
+            claim_confirmed_ms: now,
             last_batch_ms: now,
             commit_gaps: CommitGaps::new(now),
             headrooms: BTreeMap::new(),
-            commit_took_ms: 0,
+            commit_duration_ms: 0,
             store_clock: None,
-            store_ahead: None,
+            store_clock_bound: None,
             barrier,
             nodes: Vec::new(),
             advice_calls: BTreeMap::new(),
             next_advice: 0,
             finished: VecDeque::new(),
-            spread_permille: 0,
-            awaited: 0,
+            idle_jitter_permille: 0,
+            pre_cancelled_jobs: 0,
             schedule_due: false,
             last_pass_ms: now,
-            last_whole_pass_ms: 0,
+            last_full_pass_ms: 0,
             releasing: false,
             stepped_down: false,
             actions: Vec::new(),
@@ -201,7 +201,7 @@
         planner
     }
 
-    fn restore(&mut self, stored: Stored, last_commit_store_ms: Millis) {
+    fn restore(&mut self, stored: StoredGroup, last_commit_store_ms: Millis) {
         let jobs = stored.jobs.len();
         for (id, row) in stored.jobs {
             let account = row.account.as_deref();
@@ -219,8 +219,8 @@
         for (id, row) in stored.progress {
             match self.jobs.get_mut(&id) {
                 Some(job) => job.restore(&row),
-                // Earlier versions keep the ends of jobs here.
-                None => self.restore_finished(id, &row),
+                // Earlier versions keep finished jobs in this table.
+                None => self.restore_finished_job(id, &row),
             }
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.rows.progress = true;
@@ -235,7 +235,7 @@
             self.activate(id);
         }
         let entries = stored.roster.len();
-        meters::takeover();
+        metrics::takeover();
         for entry in stored.roster {
             self.add_rostered(entry);
         }
@@ -246,7 +246,7 @@
         );
     }
 
-    fn restore_finished(&mut self, id: JobId, row: &ProgressRow) {
+    fn restore_finished_job(&mut self, id: JobId, row: &ProgressRow) {
         if row.outcome.is_none() {
             log::error!(job:% = id; "progress of a job whose own row is missing");
             return;
@@ -259,11 +259,11 @@
             job.queue.name.clone_from(&owner.queue);
         }
         job.restore(row);
-        self.awaited += usize::from(job.awaited);
+        self.pre_cancelled_jobs += usize::from(job.pre_cancelled);
         self.jobs.insert(id, job);
     }
 
-    /// Takes an event that happened at `now` and returns what is to be done.
+    /// Handles an event that happened at `now` and returns the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         self.now = self.now.max(now);
         if self.stepped_down {
@@ -275,53 +275,54 @@
 
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Request { to, request } => self.request(to, request),
+            Event::Request { to, request } => self.handle_request(to, request),
             Event::Nodes(nodes) => self.set_nodes(nodes),
             Event::Configured(config) => self.configure(config),
-            Event::Endpoints { read_ms, entries } => self.list_endpoints(read_ms, entries),
+            Event::Endpoints { read_ms, entries } => self.update_endpoint_list(read_ms, entries),
             Event::Committed {
                 number,
                 copy,
                 outcome,
-            } => self.committed(number, copy, outcome),
+            } => self.handle_commit_outcome(number, copy, outcome),
             Event::Started {
                 endpoint,
                 task,
                 run,
                 answer,
-            } => self.started(endpoint, task, run, &answer),
+            } => self.handle_start_answer(endpoint, task, run, &answer),
             Event::Stopped {
                 endpoint,
                 task,
                 run,
                 answer,
-            } => self.stopped(endpoint, task, run, &answer),
+            } => self.handle_stop_answer(endpoint, task, run, &answer),
             Event::Held {
                 endpoint,
                 sent_ms,
                 answer,
-            } => self.held(endpoint, sent_ms, answer),
-            Event::Advised { number, answer } => self.advised(number, answer),
-            Event::UnstoredStarts(starts) => self.take_unstored_starts(starts),
-            Event::Texts(texts) => self.take_texts(texts),
-            Event::TextRead { id, text } => self.text_read(id, text),
-            Event::TextsRead => self.texts_read(),
-            Event::Ended(rows) => self.take_ended(rows),
-            Event::HistoryRead => self.history_read(),
-            Event::LookedUp { id, look } => self.looked_up(id, look),
+            } => self.handle_hold_answer(endpoint, sent_ms, answer),
+            Event::Advised { number, answer } => self.handle_advice_answer(number, answer),
+            Event::UnstoredStarts(starts) => self.record_unstored_starts(starts),
+            Event::Texts(texts) => self.add_texts(texts),
+            Event::TextRead { id, text } => self.handle_text_read(id, text),
+            Event::TextsRead => self.handle_all_texts_read(),
+            Event::Ended(rows) => self.restore_ended(rows),
+            Event::HistoryRead => self.handle_history_read(),
+            Event::LookedUp { id, look } => self.handle_lookup_result(id, look),
             Event::Tick { unix_ms } => self.tick(unix_ms),
         }
     }
 
-    /// Runs a pass if something has changed, or for tickets and endpoints that come and go with time.
+    /// Runs a scheduling pass after a change, and periodically because tickets expire and the
+    /// eligibility of endpoints changes with time.
     fn schedule_if_due(&mut self) {
         let since_ms = self.now.saturating_sub(self.last_pass_ms);
         if self.schedule_due || since_ms >= self.limits.pass_ms {
             self.schedule_due = false;
             self.last_pass_ms = self.now;
             self.schedule();
-            self.accounts.show(self.now);
-            meters::queues(
+            self.accounts.export_metrics(self.now);
+            metrics::queues(
                 self.open.len(),
                 self.unsaved.new_jobs.len(),
                 self.claim_age_ms(self.now),
@@ -334,41 +335,46 @@
         self.check_barrier();
         self.check_leases();
         self.mark_silent();
-        self.open_due();
+        self.open_due_occurrences();
         self.drop_finished();
         self.refuse_overdue();
-        self.check_advice();
+        self.expire_advice_calls();
         self.schedule_if_due();
         self.send_stops();
         self.send_holds();
         self.commit_if_due();
     }
 
-    /// Begins to hand the group back; [`Action::StepDown`] follows once that is stored.
+    /// Begins to release the group. [`Action::StepDown`] follows once the release is stored.
     pub fn release(&mut self) {
         self.releasing = true;
     }
 
-    /// Sets the processor share of the largest machine that could hold the group next, in thousandths of a core.
-    pub fn set_wanted_permille(&mut self, linked_permille: u64) {
-        let remembered = self.now.saturating_sub(self.claimed_ms) < REMEMBERED_MS;
-        let earlier = if remembered { self.earlier_permille } else { 0 };
-        self.holder.wanted_permille = linked_permille.max(earlier);
+    /// Sets the processor share of the largest machine that could hold the group next, in
+    /// thousandths of a core.
+    pub fn set_required_permille(&mut self, linked_permille: u64) {
+        let remembered = self.now.saturating_sub(self.claimed_ms) < LARGEST_RETENTION_MS;
+        let inherited = if remembered {
+            self.inherited_permille
+        } else {
+            0
+        };
+        self.holder.wanted_permille = linked_permille.max(inherited);
     }
 
-    /// Returns whether the group is being handed back.
+    /// Returns whether the group is being released.
     #[must_use]
     pub const fn is_releasing(&self) -> bool {
         self.releasing
     }
 
-    /// Returns how long ago the claim was last confirmed.
+    /// Returns the time since the last stored commit, which confirmed the claim, was first sent.
     #[must_use]
     pub const fn claim_age_ms(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.covered_from_ms)
+        now.saturating_sub(self.claim_confirmed_ms)
     }
 
-    /// Returns what waits.
+    /// Returns the amount of work that is waiting.
     #[must_use]
     pub fn backlog(&self) -> Backlog {
         Backlog {
@@ -378,7 +384,7 @@
         }
     }
 
-    /// Returns what was started and may not be stored, for the next holder.
+    /// Returns the starts whose notes may not be stored, for the next holder.
     #[must_use]
     pub fn unstored_starts(&self) -> Vec<StartNote> {
         self.start_ring.unstored()
@@ -417,15 +423,16 @@
         self.actions.push(Action::StepDown(reason));
     }
 
-    /// Tells waiting callers what is known: a job that was in no batch never runs.
+    /// Answers all waiting callers. A job that is in no batch never runs and can be refused; the
+    /// outcome of all others is undecided.
     fn answer_on_step_down(&mut self) {
         for (to, request) in self.history.take_waiting() {
-            let answer = history::not_looked_up(&request);
+            let answer = history::lookup_failed_answer(&request);
             self.actions.push(Action::Reply { to, answer });
         }
-        let sent = self.flight.as_ref();
+        let sent = self.in_flight.as_ref();
         for job in self.jobs.values() {
-            let in_flight = sent.is_some_and(|flight| flight.holds_new(job.id));
+            let in_flight = sent.is_some_and(|commit| commit.contains_new_job(job.id));
             let answer = if in_flight || job.stored {
                 Answer::Undecided
             } else {
@@ -450,7 +457,7 @@
             }
             self.finished.pop_front();
             if let Some(job) = self.jobs.remove(&id) {
-                self.awaited -= usize::from(job.awaited);
+                self.pre_cancelled_jobs -= usize::from(job.pre_cancelled);
                 self.unsaved.remove(id, job.rows);
             }
         }
--- a/crates/chervilfall_planner/src/planner/open.rs
+++ b/crates/chervilfall_planner/src/planner/open.rs
@@ -1,4 +1,4 @@
-//! Steps whose turn has come and that have tasks without a place.
+//! Open steps: active steps with tasks that have not been placed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,7 +6,7 @@
 use crate::policy::order::Rank;
 use crate::tasks::StepKey;
 
-/// The steps, best rank first.
+/// The open steps, best rank first.
 #[derive(Debug, Default)]
 pub(crate) struct OpenSteps {
     ordered: BTreeSet<(Rank, StepKey)>,
@@ -14,7 +14,7 @@
 }
 
 impl OpenSteps {
-    /// Puts a step in its place; one that is there already moves.
+    /// Inserts a step, or moves it if its rank has changed.
     pub(crate) fn insert(&mut self, key: StepKey, rank: Rank) {
         let earlier = self.ranks.insert(key, rank);
         if earlier == Some(rank) {
@@ -49,10 +49,10 @@
         self.ordered.iter().map(|(_, key)| *key).collect()
     }
 
-    /// Returns the steps of best rank, at most `most`.
-    pub(crate) fn first(&self, most: usize) -> Vec<StepKey> {
+    /// Returns the `limit` steps of best rank.
+    pub(crate) fn first(&self, limit: usize) -> Vec<StepKey> {
         let keys = self.ordered.iter().map(|(_, key)| *key);
-        keys.take(most).collect()
+        keys.take(limit).collect()
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/crates/chervilfall_planner/src/planner/requests.rs
+++ b/crates/chervilfall_planner/src/planner/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests.
+//! Handling of callers' requests.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,18 +10,19 @@
 use crate::event::{Asker, Request};
 use crate::ids::{JobId, Millis};
 use crate::job::JobSpec;
-use crate::meters;
+use crate::metrics;
 use crate::planner::Planner;
-use crate::policy::share::Standing;
+use crate::policy::share::ShareAdmission;
 use crate::record::{encode, JobRow};
 use crate::tasks::{Job, TaskState};
 
-/// When a refused caller should come back: about the time that a takeover or a short outage takes.
+/// Time after which a refused caller should retry: about the length of a takeover or a short
+/// outage.
 pub(super) const RETRY_MS: Millis = 1_000;
 
 impl Planner {
-    pub(super) fn request(&mut self, to: ReplyTo, request: Request) {
-        if self.waits_for_history(to, &request) {
+    pub(super) fn handle_request(&mut self, to: ReplyTo, request: Request) {
+        if self.defer_until_looked_up(to, &request) {
             return;
         }
         match request {
@@ -38,14 +39,15 @@
             Request::Cancel { id, asker } if self.is_foreign_job(id, &asker) => {
                 self.reply(to, Answer::Unknown);
             }
-            Request::State { id, .. } => self.state(to, id),
+            Request::State { id, .. } => self.answer_state(to, id),
             Request::Cancel { id, .. } => self.cancel(to, id),
-            Request::Waiting { queue } => self.count_waiting(to, &queue),
+            Request::Waiting { queue } => self.answer_waiting_count(to, &queue),
         }
     }
 
-    /// Returns whether a job is not the asker's to see: what other accounts do is not shown. A call without an account sees an
-    /// account's job only at its own queue, which has come to need no key since.
+    /// Returns whether a job must be hidden from the caller because it belongs to another account.
+    /// A caller without an account sees an account's job only if it names the job's queue, which
+    /// has stopped requiring a key since.
     fn is_foreign_job(&self, id: JobId, asker: &Asker) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return false;
@@ -82,8 +84,8 @@
             return;
         }
         if let Some(job) = self.jobs.get_mut(&id) {
-            if job.awaited {
-                self.take_awaited(to, id);
+            if job.pre_cancelled {
+                self.accept_pre_cancelled(to, id);
             } else if job.stored {
                 self.reply(to, Answer::Accepted);
             } else {
@@ -96,7 +98,7 @@
             self.reply(to, Answer::Refused { retry_ms: RETRY_MS });
             return;
         }
-        let Some(queue) = self.newest_terms(queue) else {
+        let Some(queue) = self.newest_queue(queue) else {
             self.reply(to, Answer::NoQueue);
             return;
         };
@@ -118,16 +120,16 @@
         let account = name
             .as_deref()
             .map(|name| self.accounts.key(name, self.now));
-        let standing = self.standing(account);
-        if let Standing::Refused { retry_ms } = standing {
-            meters::refused("share");
-            log::info!(job:% = id, account = name.as_deref(), retry_ms = retry_ms; "refused, beyond its account's share");
+        let admission = self.charge_share(account);
+        if let ShareAdmission::Refused { retry_ms } = admission {
+            metrics::refused("share");
+            log::info!(job:% = id, account = name.as_deref(), retry_ms = retry_ms; "refused, the account exceeds its share");
             self.reply(to, Answer::OverShare { retry_ms });
             return;
         }
         let mut job = Job::new(id, row, self.now);
         job.account = account;
-        job.beyond = standing == Standing::Beyond;
+        job.beyond = admission == ShareAdmission::OverShare;
         job.text = Some(text);
         job.submitters.push(to);
         job.refuse_at_ms = self.now + wait_ms;
@@ -135,9 +137,9 @@
         self.unsaved.new_jobs.push_back(id);
     }
 
-    /// Returns a queue by the newer one of two configurations: that of the node that took the request, and the planner's.
-    /// Returns nothing if the newer one has no such queue.
-    fn newest_terms(&self, named: Queue) -> Option<Queue> {
+    /// Returns a queue as defined by the newer of two configurations: that of the node that
+    /// received the request, and the planner's. Returns `None` if the newer one has no such queue.
+    fn newest_queue(&self, named: Queue) -> Option<Queue> {
         let config = &self.config;
         if named.configuration > config.version {
             return Some(named);
@@ -146,14 +148,14 @@
         if known.is_none() && named.configuration < config.version {
             log::info!(
                 queue = named.name.as_str(), named = named.configuration, configuration = config.version;
-                "refused, the queue has been dropped"
+                "refused, the queue no longer exists"
             );
             return None;
         }
         Some(known.unwrap_or(named))
     }
 
-    /// Refuses submissions whose commit did not begin in time; they are in no batch.
+    /// Refuses submissions that did not get into a batch in time.
     pub(super) fn refuse_overdue(&mut self) {
         let now = self.now;
         let jobs = &self.jobs;
@@ -162,17 +164,17 @@
             self.unsaved.new_jobs.drain(..).partition(overdue);
         self.unsaved.new_jobs = waiting;
         for id in refused {
-            self.refuse_waiting(id);
+            self.refuse_unsaved(id);
         }
     }
 
-    fn refuse_waiting(&mut self, id: JobId) {
-        self.end_share(id);
+    fn refuse_unsaved(&mut self, id: JobId) {
+        self.release_share(id);
         let Some(job) = self.jobs.remove(&id) else {
             return;
         };
         self.unsaved.progress.remove(id);
-        meters::refused("store");
+        metrics::refused("store");
         log::info!(
             job:% = id, queue = job.queue.name.as_str(), waited_ms = self.now - job.accepted_ms,
             claim_age_ms = self.claim_age_ms(self.now);
@@ -186,11 +188,11 @@
         }
     }
 
-    fn state(&mut self, to: ReplyTo, id: JobId) {
+    fn answer_state(&mut self, to: ReplyTo, id: JobId) {
         let answer = match self.jobs.get(&id) {
-            Some(job) if job.awaited => Answer::Unknown,
+            Some(job) if job.pre_cancelled => Answer::Unknown,
             Some(job) if job.stored => Answer::State(job.state()),
-            // It may be stored already; the caller can ask again.
+            // Its commit may be stored already; the caller can retry.
             Some(_) => Answer::Undecided,
             None if self.may_be_deposed() => Answer::Undecided,
             None => Answer::Unknown,
@@ -198,10 +200,11 @@
         self.reply(to, answer);
     }
 
-    /// Returns whether another node may hold the group by now, and know more: the claim was not confirmed for as long as
-    /// others wait. So it is after the process or its machine stood still.
+    /// Returns whether another node may hold the group by now and have newer state: the claim has
+    /// not been confirmed for the time after which other nodes claim the group. This happens when
+    /// the process or its machine was paused.
     fn may_be_deposed(&self) -> bool {
-        self.claim_age_ms(self.now) >= self.commit_gaps.standstill_ms()
+        self.claim_age_ms(self.now) >= self.commit_gaps.stall_timeout_ms()
     }
 
     fn cancel(&mut self, to: ReplyTo, id: JobId) {
@@ -209,11 +212,11 @@
             self.cancel_unknown(to, id);
             return;
         };
-        if job.awaited && job.cancel_stored {
+        if job.pre_cancelled && job.cancel_stored {
             self.reply(to, Answer::Unknown);
             return;
         }
-        if job.cancel_stored || job.shown.is_some() {
+        if job.cancel_stored || job.visible_outcome.is_some() {
             self.reply(to, Answer::Cancelled);
             return;
         }
@@ -224,39 +227,40 @@
         job.cancelled = true;
         self.unsaved.progress.insert(id);
         log::info!(job:% = id; "cancel requested");
-        self.finish(id, JobState::Cancelled);
+        self.finish_job(id, JobState::Cancelled);
     }
 
-    /// Remembers the cancel of a job that has not come: its submission may still be on the way, held by a node
-    /// that waits for a holder. The answer waits until the store has it, so that no later holder runs the job.
+    /// Records the cancellation of a job that has not been submitted: the submission may still be
+    /// in flight, held by a node that waits for a holder. The caller is answered once the
+    /// cancellation is stored, so that no later holder runs the job.
     fn cancel_unknown(&mut self, to: ReplyTo, id: JobId) {
-        if self.awaited >= self.limits.awaited_jobs {
+        if self.pre_cancelled_jobs >= self.limits.max_pre_cancelled_jobs {
             self.reply(to, Answer::Unknown);
             return;
         }
         let mut job = Job::new(id, JobRow::default(), self.now);
         job.stored = true;
         job.cancelled = true;
-        job.awaited = true;
+        job.pre_cancelled = true;
         job.outcome = Some(JobState::Cancelled);
         job.finished_ms = Some(self.now);
         job.cancellers.push(to);
         self.jobs.insert(id, job);
-        self.awaited += 1;
+        self.pre_cancelled_jobs += 1;
         self.finished.push_back((self.now, id));
         self.unsaved.progress.insert(id);
-        log::info!(job:% = id; "cancel requested, no such job yet");
+        log::info!(job:% = id; "cancel requested before the job was submitted");
     }
 
-    /// Takes in a job that was cancelled before it came: it is accepted and never runs.
-    fn take_awaited(&mut self, to: ReplyTo, id: JobId) {
+    /// Accepts the submission of a job that was cancelled before; the job never runs.
+    fn accept_pre_cancelled(&mut self, to: ReplyTo, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.awaited = false;
-        self.awaited -= 1;
+        job.pre_cancelled = false;
+        self.pre_cancelled_jobs -= 1;
         self.unsaved.progress.insert(id);
-        log::info!(job:% = id; "submitted after its cancel, never runs");
+        log::info!(job:% = id; "submitted after it was cancelled, never runs");
         if job.cancel_stored {
             self.reply(to, Answer::Accepted);
         } else {
@@ -264,8 +268,8 @@
         }
     }
 
-    /// Ends a job: nothing of it starts any more, and what runs is stopped.
-    pub(super) fn finish(&mut self, id: JobId, outcome: JobState) {
+    /// Ends a job: none of its tasks start any more, and its runs are stopped.
+    pub(super) fn finish_job(&mut self, id: JobId, outcome: JobState) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -282,15 +286,15 @@
         );
         self.unsaved.progress.insert(id);
         self.finished.push_back((self.now, id));
-        self.end_share(id);
+        self.release_share(id);
         self.open.remove_job(id);
-        self.forget_advice(id);
-        self.stop_all(id);
+        self.clear_advice(id);
+        self.stop_runs(id);
     }
 
-    /// Drops what the advice service has said about a job's steps. A finished job is kept for its callers'
-    /// questions, and needs no tickets for that, which take a large part of a holder's memory.
-    fn forget_advice(&mut self, id: JobId) {
+    /// Drops the advice for a job's steps. A finished job is kept only to answer status requests,
+    /// and the tickets of the advice take a large part of a holder's memory.
+    fn clear_advice(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -299,7 +303,7 @@
         }
     }
 
-    fn stop_all(&mut self, id: JobId) {
+    fn stop_runs(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -324,7 +328,7 @@
         }
     }
 
-    fn count_waiting(&mut self, to: ReplyTo, queue: &str) {
+    fn answer_waiting_count(&mut self, to: ReplyTo, queue: &str) {
         let waiting = self.jobs.values().filter(|job| {
             job.stored && job.outcome.is_none() && !job.started && job.queue.name == queue
         });
--- a/crates/chervilfall_planner/src/planner/stopping.rs
+++ b/crates/chervilfall_planner/src/planner/stopping.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Stopping {
     runs: BTreeSet<(EndpointKey, TaskKey)>,
-    /// Endpoints on which a run of a task is being stopped.
+    /// Number of endpoints on which a run of a task is being stopped.
     endpoints: BTreeMap<TaskKey, usize>,
 }
 
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Returns whether a run of a task may still be at work although it is being stopped.
-    pub(super) fn has(&self, task: TaskKey) -> bool {
+    /// Returns whether a run of a task is being stopped and may still be running.
+    pub(super) fn contains(&self, task: TaskKey) -> bool {
         self.endpoints.contains_key(&task)
     }
 
--- a/crates/chervilfall_planner/src/planner/unsaved.rs
+++ b/crates/chervilfall_planner/src/planner/unsaved.rs
@@ -1,4 +1,4 @@
-//! What the store does not have yet.
+//! Changes that have not been stored yet.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,37 +7,37 @@
 use crate::record::RosterBucket;
 use crate::tasks::JobRows;
 
-/// Place of a change in the order in which changes came.
-type Place = u64;
+/// Sequence number of a change, in order of arrival.
+type Sequence = u64;
 
-/// Jobs whose progress the store does not have, first come first served: work of one commit after the other must not keep
-/// any of them waiting for ever.
+/// Jobs whose progress has not been stored, in order of arrival, so that a steady flow of new
+/// changes cannot delay any of them indefinitely.
 #[derive(Debug, Default)]
 pub(crate) struct UnsavedProgress {
-    jobs: BTreeMap<Place, JobId>,
-    places: BTreeMap<JobId, Place>,
-    next: Place,
+    jobs: BTreeMap<Sequence, JobId>,
+    sequences: BTreeMap<JobId, Sequence>,
+    next: Sequence,
 }
 
 impl UnsavedProgress {
-    /// Adds a job, unless it waits already: its row is written as it is then.
+    /// Adds a job, unless it is queued already: its row is built only when it is written.
     pub(crate) fn insert(&mut self, id: JobId) {
-        if !self.places.contains_key(&id) {
-            self.places.insert(id, self.next);
+        if !self.sequences.contains_key(&id) {
+            self.sequences.insert(id, self.next);
             self.jobs.insert(self.next, id);
             self.next += 1;
         }
     }
 
     pub(crate) fn remove(&mut self, id: JobId) {
-        if let Some(place) = self.places.remove(&id) {
-            self.jobs.remove(&place);
+        if let Some(sequence) = self.sequences.remove(&id) {
+            self.jobs.remove(&sequence);
         }
     }
 
     pub(crate) fn pop_first(&mut self) -> Option<JobId> {
         let (_, id) = self.jobs.pop_first()?;
-        self.places.remove(&id);
+        self.sequences.remove(&id);
         Some(id)
     }
 
@@ -45,21 +45,22 @@
         self.jobs.is_empty()
     }
 
-    /// Returns the place of the first that waits, or of the next that comes.
-    fn first_place(&self) -> Place {
+    /// Returns the sequence number of the first queued job, or the next number if none is queued.
+    fn first_sequence(&self) -> Sequence {
         let first = self.jobs.first_key_value();
-        first.map_or(self.next, |(place, _)| *place)
+        first.map_or(self.next, |(sequence, _)| *sequence)
     }
 }
 
-/// Ends of an endpoint up to a number, which can be acknowledged once all progress before a place is stored.
+/// Ends reported by an endpoint up to a number. They can be acknowledged once all progress before a
+/// sequence number is stored.
 #[derive(Debug, Clone, Copy)]
 struct UnsavedEnds {
     number: u64,
-    before: Place,
+    before: Sequence,
 }
 
-/// Ends that have been taken in and not been acknowledged, by endpoint.
+/// Ends that have been processed but not acknowledged, by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct UnsavedAcknowledgements {
     ends: BTreeMap<EndpointKey, VecDeque<UnsavedEnds>>,
@@ -74,11 +75,12 @@
         self.ends.is_empty()
     }
 
-    /// Takes what can be acknowledged once everything before a place is stored.
-    fn take_before(&mut self, place: Place) -> BTreeMap<EndpointKey, u64> {
+    /// Removes and returns the ends that can be acknowledged once everything before a sequence
+    /// number is stored.
+    fn take_before(&mut self, sequence: Sequence) -> BTreeMap<EndpointKey, u64> {
         let mut ready = BTreeMap::new();
         for (endpoint, ends) in &mut self.ends {
-            while let Some(first) = ends.front().filter(|first| first.before <= place) {
+            while let Some(first) = ends.front().filter(|first| first.before <= sequence) {
                 ready.insert(*endpoint, first.number);
                 ends.pop_front();
             }
@@ -88,9 +90,9 @@
     }
 }
 
-/// What the store does not have yet.
+/// Changes that have not been stored yet.
 #[derive(Debug, Default)]
-pub(crate) struct Unsaved {
+pub(crate) struct UnsavedChanges {
     pub(crate) new_jobs: VecDeque<JobId>,
     pub(crate) progress: UnsavedProgress,
     pub(crate) acknowledgements: UnsavedAcknowledgements,
@@ -98,23 +100,23 @@
     pub(crate) roster: BTreeSet<RosterBucket>,
 }
 
-impl Unsaved {
+impl UnsavedChanges {
     pub(crate) fn remove(&mut self, id: JobId, rows: JobRows) {
         self.progress.remove(id);
         self.removed.push((id, rows));
     }
 
-    /// Notes that an endpoint's ends up to a number have been taken in.
-    pub(crate) fn take_ends(&mut self, endpoint: EndpointKey, number: u64) {
+    /// Records that an endpoint's ends up to a number have been processed.
+    pub(crate) fn record_ends(&mut self, endpoint: EndpointKey, number: u64) {
         let before = self.progress.next;
         let ends = self.acknowledgements.ends.entry(endpoint).or_default();
         ends.push_back(UnsavedEnds { number, before });
     }
 
-    /// Takes the ends that can be acknowledged once the batch that is being made is stored.
+    /// Removes and returns the ends that can be acknowledged once the batch being built is stored.
     pub(super) fn take_acknowledgements(&mut self) -> BTreeMap<EndpointKey, u64> {
-        let place = self.progress.first_place();
-        self.acknowledgements.take_before(place)
+        let sequence = self.progress.first_sequence();
+        self.acknowledgements.take_before(sequence)
     }
 
     pub(super) fn is_empty(&self) -> bool {
