--- a/crates/chervilfall_planner/src/account.rs
+++ b/crates/chervilfall_planner/src/account.rs
@@ -1,19 +1,19 @@
-//! Client accounts: who hands jobs in, and how much of the endpoints their tasks may use.
+//! Client accounts, which submit jobs, and the limits on the resources that their tasks may use.
 
 use serde::{Deserialize, Serialize};
 
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// Name of a client account.
 pub type AccountName = String;
 
-/// A client account, as the configuration has it.
+/// A client account as defined in the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its name.
+    /// Name.
     pub name: AccountName,
-    /// Jobs a second that are its share when all endpoints are in use; 0 for no bound.
+    /// The account's share in jobs per second while all endpoints are in use; 0 for no limit.
     pub weight: f64,
-    /// Most that its tasks may take at the same time; 0 for no limit.
-    pub quota: Room,
+    /// Maximum resources that its tasks may use at the same time; 0 for no limit.
+    pub quota: Resources,
 }
--- a/crates/chervilfall_planner/src/action.rs
+++ b/crates/chervilfall_planner/src/action.rs
@@ -1,4 +1,4 @@
-//! What a planner wants done.
+//! Actions that a planner requests from its node.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,16 +7,16 @@
 use crate::event::{NodeId, Ticket};
 use crate::ids::{EndpointId, Fence, JobId, Millis, Run, TaskKey};
 
-/// Where an answer goes.
+/// Destination of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplyTo {
-    /// Node that took the request.
+    /// Node that received the request.
     pub node: NodeId,
     /// Number of the request at that node.
     pub number: u64,
 }
 
-/// State of a job, as callers see it.
+/// State of a job as shown to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
     /// No task has started.
@@ -25,7 +25,7 @@
     Running,
     /// All tasks are done.
     Completed,
-    /// A task has failed for good.
+    /// A task has failed permanently.
     Failed,
     /// The job was cancelled.
     Cancelled,
@@ -36,132 +36,132 @@
 pub enum Answer {
     /// The job is stored.
     Accepted,
-    /// The job was not stored and never runs.
+    /// The job was not stored and will never run.
     Refused {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_ms: Millis,
     },
     /// State of a job.
     State(JobState),
-    /// The cancel is stored.
+    /// The cancellation is stored.
     Cancelled,
-    /// The cancel was not carried out.
+    /// The job was not cancelled.
     NotCancelled {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_ms: Millis,
     },
-    /// No such job.
+    /// The job does not exist.
     Unknown,
-    /// Jobs that have not started.
+    /// Number of jobs that have not started.
     Waiting(u64),
-    /// The job could not be stored, because a row cannot hold it.
+    /// The job was not stored because it exceeds the size limit of a row.
     TooLarge,
-    /// The job was not stored and never runs: its account hands in more than its share.
+    /// The job was not stored and will never run: its account exceeds its share.
     OverShare {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_ms: Millis,
     },
-    /// Another account has handed a job of this name in.
+    /// Another account has already submitted a job with this identifier.
     NameTaken,
-    /// There is no such queue any more, and the job was not taken.
+    /// The queue no longer exists, and the job was not accepted.
     NoQueue,
-    /// Nobody knows yet whether the request was carried out; the same request may be sent again.
+    /// It is not yet known whether the request was carried out; the caller may repeat it.
     Undecided,
 }
 
-/// Starts a run.
+/// Order to start a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
     /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Incarnation that is meant.
+    /// Name of the endpoint.
     pub id: EndpointId,
     /// Its address.
     pub address: String,
     /// The task.
     pub task: TaskKey,
-    /// The start.
+    /// Number of the run.
     pub run: Run,
     /// The job's text.
     pub spec: std::sync::Arc<str>,
-    /// Lease on the endpoint's clock; also bounds how late the start may be carried out.
+    /// Lease expiry on the endpoint's clock; the start must not be carried out later than this.
     pub until_ms: Millis,
     /// Fencing token.
     pub fence: Fence,
-    /// Checkpoint to resume from, empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// Permission, if the queue needs one.
+    /// Ticket, if the queue requires one.
     pub ticket: Option<Ticket>,
 }
 
-/// Stops a run.
+/// Order to stop a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopOrder {
     /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Incarnation that is meant.
+    /// Name of the endpoint.
     pub id: EndpointId,
     /// Its address.
     pub address: String,
     /// The task.
     pub task: TaskKey,
-    /// The start.
+    /// Number of the run.
     pub run: Run,
     /// Fencing token.
     pub fence: Fence,
 }
 
-/// Extends the lease of an endpoint's runs and reads its lists.
+/// Order to renew the lease of an endpoint's runs and to read its lists of runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldOrder {
     /// Key of the endpoint.
     pub endpoint: EndpointKey,
-    /// Incarnation that is meant.
+    /// Name of the endpoint.
     pub id: EndpointId,
     /// Its address.
     pub address: String,
-    /// Lease on the endpoint's clock; none while that clock is not known.
+    /// Lease expiry on the endpoint's clock; none while that clock is unknown.
     pub until_ms: Option<Millis>,
     /// Fencing token.
     pub fence: Fence,
-    /// Ends up to this number are stored and can be forgotten.
+    /// Ends up to this number are stored, so the endpoint can discard them.
     pub acknowledged: u64,
-    /// How long the answer may wait for an end.
+    /// How long the endpoint may delay its answer while no run ends.
     pub wait_ms: Millis,
-    /// How long the answer is awaited.
+    /// How long to wait for the answer.
     pub timeout_ms: Millis,
 }
 
-/// Asks which endpoints may run a step.
+/// Call to the advice service that asks which endpoints may run a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceOrder {
     /// Number of the call.
     pub number: u64,
-    /// Name of the step: job, occurrence and position.
+    /// Name of the step: job, occurrence and index.
     pub step: String,
-    /// Endpoints that are asked about.
+    /// Endpoints to ask about.
     pub endpoints: Vec<EndpointId>,
-    /// When the call counts as lost, from its sending.
+    /// Time after sending at which the call counts as failed.
     pub timeout_ms: Millis,
 }
 
-/// Why a planner gives its group up.
+/// Why a planner stops holding its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownReason {
     /// Another node has claimed the group.
     ClaimLost,
     /// An endpoint has seen a higher fencing token.
     Fenced,
-    /// The claim was handed back, as asked.
+    /// The claim was released on request.
     Released,
 }
 
-/// What a planner wants done.
+/// An action that a planner requests from its node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Answers a caller.
     Reply {
-        /// Where the answer goes.
+        /// Destination of the answer.
         to: ReplyTo,
         /// The answer.
         answer: Answer,
@@ -172,19 +172,19 @@
     Start(StartOrder),
     /// Stops a run.
     Stop(StopOrder),
-    /// Holds an endpoint.
+    /// Renews an endpoint's leases and reads its lists.
     Hold(HoldOrder),
-    /// Calls for advice.
+    /// Calls the advice service.
     Advise {
         /// Node that makes the call.
         node: NodeId,
         /// The call.
         order: AdviceOrder,
     },
-    /// Looks for the row of an ended job.
+    /// Looks up the row of an ended job.
     LookUp(JobId),
     /// Reads the text of an open job.
     ReadText(JobId),
-    /// Ends the planner: it must not be fed any more.
+    /// Ends the planner: it must not be given any further events.
     StepDown(StepDownReason),
 }
--- a/crates/chervilfall_planner/src/advice.rs
+++ b/crates/chervilfall_planner/src/advice.rs
@@ -1,4 +1,4 @@
-//! What the advice service has said about a step.
+//! Answers of the advice service for a step, and the calls in flight.
 
 use std::collections::BTreeMap;
 
@@ -8,32 +8,33 @@
 use crate::event::Ticket;
 use crate::ids::Millis;
 
-/// What is known of an endpoint for a step.
+/// Answer of the advice service about an endpoint for a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Permission {
-    /// It may not run the step, ever.
+    /// The endpoint may never run the step.
     Denied,
-    /// It may; the ticket is valid until the time given.
+    /// The endpoint may run the step; the ticket is valid until the given time.
     Granted(Ticket, Millis),
 }
 
-/// What is known of an endpoint for a step, and whether a call on its way names it.
+/// The answer about an endpoint for a step, and whether a call in flight names the endpoint.
 #[derive(Debug, Default)]
 struct Entry {
     permission: Option<Permission>,
     asking: bool,
 }
 
-/// What is known for a step. Which endpoints may run it never changes; tickets lapse.
+/// Answers of the advice service for a step. Which endpoints may run the step never changes, but
+/// tickets expire.
 ///
-/// Each pass looks every endpoint up for each step that may ask, so entries are found by index: the holder's one thread
-/// has little time for a pass.
+/// Each scheduling pass looks up every endpoint for each step that may call for advice, all on the
+/// holder's single control thread, so entries are found by index.
 #[derive(Debug, Default)]
 pub(crate) struct Advice {
     entries: SecondaryMap<EndpointKey, Entry>,
-    /// When the last ticket lapses.
+    /// When the last ticket expires.
     valid_until_ms: Millis,
-    /// Endpoints that the calls on their way name, by number of the call.
+    /// Endpoints named by the calls in flight, by call number.
     asking: BTreeMap<u64, Vec<EndpointKey>>,
 }
 
@@ -43,11 +44,11 @@
         Some(slot.or_default())
     }
 
-    pub(crate) fn learn(&mut self, endpoint: EndpointKey, permission: Permission) {
+    pub(crate) fn record_permission(&mut self, endpoint: EndpointKey, permission: Permission) {
         if let Permission::Granted(_, valid_until_ms) = &permission {
             self.valid_until_ms = self.valid_until_ms.max(*valid_until_ms);
         }
-        // The arena has no entry for a key that an endpoint after it has reused.
+        // There is no entry for a stale key whose slot another endpoint has reused since.
         if let Some(entry) = self.entry(endpoint) {
             entry.permission = Some(permission);
         }
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Returns the number of calls on their way.
-    pub(crate) fn calls(&self) -> usize {
+    /// Returns the number of calls in flight.
+    pub(crate) fn calls_in_flight(&self) -> usize {
         self.asking.len()
     }
 
-    /// Returns the number of endpoints that calls on their way name.
-    pub(crate) fn asked(&self) -> usize {
+    /// Returns the number of endpoints named by calls in flight.
+    pub(crate) fn endpoints_in_calls(&self) -> usize {
         self.asking.values().map(Vec::len).sum()
     }
 
-    /// Returns whether neither an answer nor a call on its way says anything of the endpoint.
-    pub(crate) fn is_open(&self, endpoint: EndpointKey) -> bool {
+    /// Returns whether there is neither an answer nor a call in flight for the endpoint.
+    pub(crate) fn is_unasked(&self, endpoint: EndpointKey) -> bool {
         let entry = self.entries.get(endpoint);
         entry.is_none_or(|entry| entry.permission.is_none() && !entry.asking)
     }
@@ -96,12 +97,12 @@
         matches!(self.permission(endpoint), Some(Permission::Granted(..)))
     }
 
-    /// Returns whether some ticket may still be valid at `at_ms`.
+    /// Returns whether any ticket may still be valid at `at_ms`.
     pub(crate) const fn any_ticket(&self, at_ms: Millis) -> bool {
         self.valid_until_ms > at_ms
     }
 
-    /// Returns a ticket that is still valid at `at_ms`.
+    /// Returns the endpoint's ticket if it is still valid at `at_ms`.
     pub(crate) fn ticket(&self, endpoint: EndpointKey, at_ms: Millis) -> Option<&Ticket> {
         match self.permission(endpoint)? {
             Permission::Granted(ticket, valid_until_ms) if *valid_until_ms > at_ms => Some(ticket),
@@ -119,8 +120,8 @@
             })
     }
 
-    /// Forgets a ticket that an endpoint has refused.
-    pub(crate) fn spoil(&mut self, endpoint: EndpointKey) {
+    /// Marks a ticket that the endpoint has refused as expired.
+    pub(crate) fn invalidate_ticket(&mut self, endpoint: EndpointKey) {
         let entry = self.entries.get_mut(endpoint);
         let permission = entry.and_then(|entry| entry.permission.as_mut());
         if let Some(Permission::Granted(_, valid_until_ms)) = permission {
--- a/crates/chervilfall_planner/src/commit.rs
+++ b/crates/chervilfall_planner/src/commit.rs
@@ -1,8 +1,8 @@
-//! Group commits: what changed since the last one, under the condition that the claim still holds.
+//! Group commits: the changes since the previous commit, conditional on the claim still holding.
 
 use crate::ids::{Millis, RowVersion};
 
-/// Names a row: table and key; the group's part is added where the row is written.
+/// Table and key of a row. The prefix of the group is added where the row is written.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RowKey {
     /// Table.
@@ -16,48 +16,48 @@
 pub enum RowChange {
     /// Writes the row.
     Put(RowKey, Vec<u8>),
-    /// Drops the row.
+    /// Deletes the row.
     Remove(RowKey),
 }
 
-/// Rows that change together. The claim row moves with every batch, so that a batch which is
-/// carried out late, or sent twice, finds its condition broken.
+/// Row changes that are applied atomically. Every batch also writes the claim row, so a batch that
+/// is applied late or sent twice fails its condition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// Number of the batch; it also stands in the claim row.
+    /// Number of the batch, which is also written to the claim row.
     pub number: u64,
-    /// Which copy of the batch this is, from 0.
+    /// Index of this copy of the batch, from 0.
     pub copy: usize,
     /// Version that the claim row must have.
     pub expected: RowVersion,
-    /// The rows, the claim row among them.
+    /// The row changes, including that of the claim row.
     pub changes: Vec<RowChange>,
-    /// How long to wait for an answer to this copy.
+    /// How long to wait for the answer to this copy.
     pub timeout_ms: Millis,
 }
 
-/// What came of a batch.
+/// Outcome of a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It is stored.
+    /// The batch is stored.
     Stored {
-        /// Version that the claim row has now.
+        /// New version of the claim row.
         version: RowVersion,
-        /// The store's steady clock when it answered.
+        /// The store's monotonic clock at the time of its answer.
         store_ms: Millis,
     },
-    /// The claim row has another version; holds the row, if there is one.
+    /// The claim row has another version; contains the row if it exists.
     Conflict(Option<(RowVersion, Vec<u8>)>),
-    /// It was surely not carried out.
+    /// The batch was certainly not applied.
     NotDone,
-    /// It may have been carried out, or may be later.
+    /// The batch may have been applied, or may still be applied later.
     Unknown,
 }
 
 impl CommitOutcome {
-    /// Returns a word for logs.
+    /// Returns the label used in logs.
     #[must_use]
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
             Self::Stored { .. } => "stored",
             Self::Conflict(_) => "conflict",
--- a/crates/chervilfall_planner/src/config.rs
+++ b/crates/chervilfall_planner/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, as far as a planner needs it.
+//! The parts of the configuration that a planner needs.
 
 use std::collections::BTreeMap;
 
@@ -13,26 +13,26 @@
 /// Name of a service, a pool of endpoints.
 pub type ServiceName = String;
 
-/// Calls for advice whose fixed part takes at least this long count as slow: some times what a short request
-/// may lose while it waits behind one.
+/// Advice calls whose fixed part takes at least this long count as slow. It is several times the
+/// delay that a short request can afford behind another call.
 const SLOW_DECIDE_MS: f64 = 50.0;
 
-/// How long it takes to ask which endpoints may run a step.
+/// Stated durations of calls to the advice service.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct AdviceTerms {
-    /// Time for a call.
+pub struct AdviceTimings {
+    /// Fixed time per call.
     pub decide_ms: f64,
-    /// Additional time for each endpoint that a call names.
+    /// Additional time for each endpoint named in a call.
     pub each_ms: f64,
     /// How long a ticket is valid.
     pub valid_ms: u64,
 }
 
-impl AdviceTerms {
-    /// Returns how long a call that names `endpoints` takes.
+impl AdviceTimings {
+    /// Returns the duration of a call that names `endpoints` endpoints.
     #[must_use]
     pub fn call_ms(&self, endpoints: usize) -> Millis {
-        // A stated time is a small positive number of milliseconds, a call names few endpoints.
+        // The stated times are small positive numbers, and a call names few endpoints.
         #[allow(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
@@ -42,7 +42,7 @@
         call_ms
     }
 
-    /// Returns whether a call holds up others of its node for long.
+    /// Returns whether calls are slow enough to noticeably delay other calls from the same node.
     #[must_use]
     pub fn is_slow(&self) -> bool {
         self.decide_ms >= SLOW_DECIDE_MS
@@ -52,21 +52,22 @@
 /// A queue.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name.
     pub name: QueueName,
     /// Pool of endpoints that runs its tasks.
     pub service: ServiceName,
-    /// Rank; 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs after which a task has failed.
+    /// Number of failed runs after which a task has failed.
     pub attempts: u32,
-    /// Factor on the longest chain of work in a job's objective.
+    /// Factor applied to the longest chain of work in a job's objective.
     pub stretch: f64,
     /// Constant part of a job's objective.
     pub target_latency_ms: u64,
-    /// Set if a start needs a ticket of the advice service.
-    pub advice: Option<AdviceTerms>,
-    /// Version of the configuration in which the queue stands so; 0 in rows and requests that do not tell.
+    /// Set if starts require a ticket from the advice service.
+    pub advice: Option<AdviceTimings>,
+    /// Version of the configuration that these settings are from; 0 in rows and requests that do
+    /// not state it.
     #[serde(default)]
     pub configuration: u64,
 }
@@ -74,16 +75,16 @@
 /// A service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub name: ServiceName,
-    /// Endpoints refuse what exceeds their capacity.
+    /// Its endpoints refuse starts that exceed their capacity.
     pub enforces_capacity: bool,
 }
 
 /// One version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Configuration {
-    /// Grows with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
     /// Queues by name.
     pub queues: BTreeMap<QueueName, Queue>,
@@ -94,14 +95,14 @@
 }
 
 impl Configuration {
-    /// Returns whether the endpoints of a service refuse what exceeds their capacity.
-    pub(crate) fn guards_capacity(&self, service: &str) -> bool {
+    /// Returns whether the endpoints of a service refuse starts that exceed their capacity.
+    pub(crate) fn enforces_capacity(&self, service: &str) -> bool {
         let service = self.services.get(service);
         service.is_some_and(|service| service.enforces_capacity)
     }
 
-    /// Returns whether a service stands in the configuration; all do while none is known.
-    pub(crate) fn names(&self, service: &str) -> bool {
+    /// Returns whether the configuration has a service; always true while it has none at all.
+    pub(crate) fn has_service(&self, service: &str) -> bool {
         self.services.is_empty() || self.services.contains_key(service)
     }
 }
--- a/crates/chervilfall_planner/src/election.rs
+++ b/crates/chervilfall_planner/src/election.rs
@@ -1,4 +1,5 @@
-//! Who holds a group: read from the claim row, which moves with every commit of the holder.
+//! Election of the holder of a group through the claim row, which every commit of the holder
+//! updates.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,67 +7,72 @@
 use crate::ids::{Fence, Millis, RowVersion};
 use crate::record::{decode, encode, RecordError, CLAIMS, HOLDER};
 
-/// How long the answer to a claim is awaited: some times what a slow store takes.
+/// How long to wait for the answer to a claim: several times what a slow store takes.
 const CLAIM_TIMEOUT_MS: Millis = 1_000;
 
-/// How long a refused connection counts as a sign that the holder's process is gone.
+/// How long a refused connection counts as evidence that the holder's process is gone.
 const REFUSED_MS: Millis = 1_000;
 
-/// How long machines with little processor leave a claim to others: the time that those need to
-/// notice and to claim.
-const DEFERENCE_MS: Millis = 1_200;
-/// How long a holder that still reads its rows is left alone by machines with twice its processor, which read them sooner:
-/// longer than such a machine takes for all of it.
-const OUTRANKED_MS: Millis = 1_000;
-/// How long a larger holder is remembered that may come back.
-pub(crate) const REMEMBERED_MS: Millis = 30_000;
-/// How long a node leaves the claim to others after it has handed it back because it could not read the rows.
-const ABSTENTION_MS: Millis = 2_000;
-/// A machine with this share defers to nobody while there is no holder yet; below half of it, it does.
+/// Delay before machines with little CPU claim the group: the time that larger machines need to
+/// notice the lost holder and to claim first.
+const CLAIM_DELAY_MS: Millis = 1_200;
+/// How long a holder may recover before a machine with at least twice its CPU, which would recover
+/// faster, replaces it: longer than such a machine needs for the whole recovery.
+const RECOVERY_GRACE_MS: Millis = 1_000;
+/// How long the size of a larger holder is remembered, because that holder may return.
+pub(crate) const LARGEST_RETENTION_MS: Millis = 30_000;
+/// How long a node makes no claim after it has released the group because it could not read the
+/// rows.
+const BACK_OFF_MS: Millis = 2_000;
+/// CPU assumed of the last holder while there is none yet: only machines with less than half of it
+/// delay their claim.
 const LARGE_PERMILLE: u64 = 500;
 
 /// The claim row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRow {
-    /// Grows with every claim.
+    /// Number of the claim, which increases with every claim.
     pub term: u64,
-    /// Holder.
+    /// Name of the holder.
     pub node: String,
-    /// Random number of the holder's process, which tells it from an earlier one of that name.
+    /// Random number of the holder's process, which distinguishes it from earlier processes of the
+    /// same node.
     pub incarnation: u64,
-    /// Where its links are taken.
+    /// Address at which the holder accepts links.
     pub address: String,
     /// Number of the last commit.
     pub number: u64,
-    /// The holder has handed the group back.
+    /// The holder has released the group.
     pub released: bool,
-    /// The holder has seen all endpoints that earlier holders may have given leases, or these have
-    /// lapsed.
+    /// Each endpoint to which earlier holders may have granted a lease has either contacted this
+    /// holder or let its lease lapse.
     pub settled: bool,
-    /// Processor share of the holder's machine, in thousandths of a core.
+    /// CPU of the holder's machine, in thousandths of a core.
     pub cpu_permille: u64,
-    /// The holder still reads the group's rows and serves nobody.
+    /// The holder is still reading the group's rows and serves no requests.
     #[serde(default)]
     pub recovering: bool,
-    /// Processor share of the largest machine that could hold the group: linked to the holder, or a holder of late.
+    /// CPU of the largest machine that could hold the group: the holder, a node linked to it or a
+    /// recent holder.
     #[serde(default)]
     pub wanted_permille: u64,
-    /// How long the row may stand still before the holder is taken for lost, as the holder asks for by the
-    /// gaps between its commits; 0 if it does not know yet.
+    /// How long the row may stay unchanged before the holder counts as lost, as requested by the
+    /// holder on the basis of the gaps between its commits; 0 if it does not know yet.
     #[serde(default)]
     pub standstill_ms: Millis,
-    /// The store's steady clock when the row was written, as the writer knew it; 0 if it did not.
+    /// The store's monotonic clock when the row was written, as estimated by the writer; 0 if
+    /// unknown.
     pub written_store_ms: Millis,
 }
 
 impl HolderRow {
-    /// Returns the value of the row.
+    /// Encodes the row.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads the value of the row.
+    /// Decodes the row.
     ///
     /// # Errors
     ///
@@ -85,52 +91,53 @@
     pub fence: Fence,
     /// Version of the claim row now: the condition of the next commit.
     pub version: RowVersion,
-    /// When the predecessor's last commit was first seen here; no lease of its reaches further
-    /// than the claim's cover from there. None if there was no predecessor.
+    /// When this node first saw the predecessor's last commit. None of its leases extends beyond
+    /// the claim cover counted from then. None if there was no predecessor.
     pub predecessor_seen_ms: Option<Millis>,
-    /// The store's steady clock at the predecessor's last commit, as it said itself; 0 if it did not.
+    /// The store's monotonic clock at the predecessor's last commit, as reported by the
+    /// predecessor; 0 if it did not report it.
     pub predecessor_written_store_ms: Millis,
-    /// Set if the predecessor was an earlier process on this very machine, which has granted nothing
-    /// since this process began, and if no lease of still earlier holders was left.
+    /// Set if the predecessor was an earlier process on this machine, which cannot have granted
+    /// leases since this process started, and no leases of earlier holders were left.
     pub predecessor_gone_ms: Option<Millis>,
 }
 
-/// What a candidate should do.
+/// What a candidate should do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CandidateMove {
-    /// Follow this holder; if its row stands still for `claim_in_ms` more, it can be claimed.
+pub enum CandidateAction {
+    /// Follow this holder; the group can be claimed if the row stays unchanged for `claim_in_ms`.
     Follow {
         /// The claim row.
         holder: HolderRow,
-        /// What is left of the standstill.
+        /// Remaining time until the stall timeout.
         claim_in_ms: Millis,
     },
-    /// Leave the claim to others for now.
+    /// Make no claim for now.
     Wait,
     /// Write this batch to claim the group.
     Claim(Batch, HolderRow),
 }
 
-/// How long the row must stand still before it is claimed.
+/// How long the claim row must stay unchanged before another node claims the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stall {
-    /// While the holder has not said how long.
-    pub unsaid_ms: Millis,
-    /// Instead, if the holder's address refuses connections: its process is gone.
+pub struct StallTimeouts {
+    /// Timeout while the holder has not requested one.
+    pub unreported_ms: Millis,
+    /// Timeout if the holder's address refuses connections, which means that its process is gone.
     pub refused_ms: Millis,
-    /// Added because the store is slow to answer, and so to take the holder's commits.
+    /// Added in either case to allow for a slow store, which also delays the holder's commits.
     pub slow_ms: Millis,
 }
 
-impl Stall {
-    /// Returns the standstill after which a holder is taken for lost.
-    fn of(&self, holder: &HolderRow, refused: bool) -> Millis {
-        let still_ms = match holder.standstill_ms {
+impl StallTimeouts {
+    /// Returns the time without a change of the row after which the holder counts as lost.
+    fn for_holder(&self, holder: &HolderRow, refused: bool) -> Millis {
+        let timeout_ms = match holder.standstill_ms {
             _ if refused => self.refused_ms,
-            0 => self.unsaid_ms,
-            said_ms => said_ms,
+            0 => self.unreported_ms,
+            requested_ms => requested_ms,
         };
-        still_ms + self.slow_ms
+        timeout_ms + self.slow_ms
     }
 }
 
@@ -143,10 +150,11 @@
 }
 
 impl RefusedHolder {
-    /// Returns whether it still speaks against this holder. It says nothing of the next one, which reads its rows
-    /// for some tenths of a second before links to it are there: held against everybody, refusals made two nodes
-    /// depose each other four times in 0.9 s after all 97 had lost power.
-    fn is(&self, holder: &HolderRow, now: Millis) -> bool {
+    /// Returns whether the refusal still counts against this holder. It must not count against the
+    /// next one, which reads its rows for some tenths of a second before it accepts links. Without
+    /// this check, two nodes replaced each other four times within 0.9 s after a power loss of all
+    /// 97.
+    fn applies_to(&self, holder: &HolderRow, now: Millis) -> bool {
         self.term == holder.term
             && self.incarnation == holder.incarnation
             && now.saturating_sub(self.at_ms) < REFUSED_MS
@@ -171,31 +179,31 @@
     unreadable: bool,
     /// The last holder that refused a connection.
     refused: Option<RefusedHolder>,
-    /// The newest term that was seen, and when first.
+    /// The newest term seen, and when it was first seen.
     term: Option<(u64, Millis)>,
-    /// Processor share of the largest holder that was seen, in thousandths of a core, and when last.
+    /// CPU of the largest machine seen, in thousandths of a core, and when it was last seen.
     largest: Option<(u64, Millis)>,
-    /// Until when the claim is left to others.
-    abstains_until_ms: Millis,
+    /// Until when this node makes no claim.
+    backs_off_until_ms: Millis,
 }
 
-/// Who a candidate is.
+/// Identity of a candidate.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
     /// Name of the node.
     pub node: String,
     /// Random number of its process.
     pub incarnation: u64,
-    /// Where its links are taken.
+    /// Address at which it accepts links.
     pub address: String,
-    /// When its process began.
+    /// When its process started.
     pub started_ms: Millis,
-    /// Processor share of its machine, in thousandths of a core.
+    /// CPU of its machine, in thousandths of a core.
     pub cpu_permille: u64,
 }
 
 impl Candidate {
-    /// Returns a candidate that has read nothing yet.
+    /// Creates a candidate that has not read the claim row yet.
     #[must_use]
     pub const fn new(identity: Identity) -> Self {
         Self {
@@ -206,53 +214,54 @@
             refused: None,
             term: None,
             largest: None,
-            abstains_until_ms: 0,
+            backs_off_until_ms: 0,
         }
     }
 
-    /// Returns how long this node leaves the claim to machines with more processor: a planner's work
-    /// grows with the fleet, and a machine with half of what the last holder had falls behind.
-    const fn deference_ms(&self, last_permille: u64) -> Millis {
+    /// Returns how long this node delays its claim in favor of larger machines. A planner's work
+    /// grows with the fleet, and a machine with half of the last holder's CPU falls behind.
+    const fn claim_delay_ms(&self, last_permille: u64) -> Millis {
         if self.identity.cpu_permille * 2 < last_permille {
-            DEFERENCE_MS
+            CLAIM_DELAY_MS
         } else {
             0
         }
     }
 
-    /// Forgets what was read: the holder works, so that an old reading tells nothing.
+    /// Discards what was read, because it is stale once the holder is known to work.
     pub fn reset(&mut self) {
         self.seen = None;
         self.readable_ms = None;
         self.unreadable = false;
     }
 
-    /// Leaves the claim to others for a while: this node has handed it back.
-    pub fn abstain(&mut self, now: Millis) {
-        self.abstains_until_ms = now + ABSTENTION_MS;
+    /// Makes no claim for a while, because this node has just released the group.
+    pub fn back_off(&mut self, now: Millis) {
+        self.backs_off_until_ms = now + BACK_OFF_MS;
     }
 
-    /// Notes how large the holder's machine is and those that it is linked to; returns the largest of late.
+    /// Records the CPU reported in the holder's row; returns that of the largest recent machine.
     fn largest_permille(&mut self, now: Millis, holder: &HolderRow) -> u64 {
         let seen = holder.cpu_permille.max(holder.wanted_permille);
         let known = self.largest.filter(|(permille, seen_ms)| {
-            *permille > seen && now.saturating_sub(*seen_ms) < REMEMBERED_MS
+            *permille > seen && now.saturating_sub(*seen_ms) < LARGEST_RETENTION_MS
         });
         let largest = known.unwrap_or((seen, now));
         self.largest = Some(largest);
         largest.0
     }
 
-    /// Returns whether a holder that still reads its rows can be replaced by this node, which reads them sooner. Machines
-    /// can follow each other so only while each has twice the processor of the one before.
-    fn outranks(&self, now: Millis, holder: &HolderRow) -> bool {
+    /// Returns whether this node should replace a holder that is still recovering, because it would
+    /// recover faster. It needs at least twice the holder's CPU, which bounds the number of
+    /// successive replacements.
+    fn is_preferred_over(&self, now: Millis, holder: &HolderRow) -> bool {
         let since_ms = self.term.map_or(now, |(_, since_ms)| since_ms);
         let larger = self.identity.cpu_permille >= 2 * holder.cpu_permille;
-        holder.recovering && larger && now.saturating_sub(since_ms) >= OUTRANKED_MS
+        holder.recovering && larger && now.saturating_sub(since_ms) >= RECOVERY_GRACE_MS
     }
 
-    /// Notes that the address of a holder has refused a connection.
-    pub fn refused_by(&mut self, now: Millis, holder: &HolderRow) {
+    /// Records that the address of a holder has refused a connection.
+    pub fn record_refused_connection(&mut self, now: Millis, holder: &HolderRow) {
         self.refused = Some(RefusedHolder {
             term: holder.term,
             incarnation: holder.incarnation,
@@ -260,24 +269,24 @@
         });
     }
 
-    /// Notes that the row could not be read: nobody could renew the claim meanwhile either, so that
-    /// its standstill counts from the next reading only.
-    pub fn unreadable(&mut self) {
+    /// Records that the row could not be read. The holder could not renew its claim during that
+    /// time either, so the stall timeout counts from the next successful reading.
+    pub fn record_unreadable(&mut self) {
         self.unreadable = true;
     }
 
-    /// Takes a reading of the claim row, and of the store's clock.
+    /// Processes a reading of the claim row and of the store's clock.
     ///
-    /// The row says when it was written by the store's clock, so that one reading can tell how long
-    /// it has stood still. A claim that comes too early does no harm but to the work of a takeover.
+    /// The row states when it was written by the store's clock, so its age is known from a single
+    /// reading. A premature claim is safe; it only causes an unnecessary takeover.
     pub fn observe(
         &mut self,
         now: Millis,
         store_ms: Millis,
         version: RowVersion,
         row: Option<HolderRow>,
-        stall: &Stall,
-    ) -> CandidateMove {
+        stall: &StallTimeouts,
+    ) -> CandidateAction {
         if std::mem::take(&mut self.unreadable) {
             self.readable_ms = Some(now);
         }
@@ -292,30 +301,32 @@
             first_ms,
             row: row.clone(),
         });
-        let abstains = now < self.abstains_until_ms;
+        let backs_off = now < self.backs_off_until_ms;
         match row {
             None => {
-                let deference_ms = self.deference_ms(LARGE_PERMILLE);
-                if abstains || now.saturating_sub(first_ms) < deference_ms {
-                    return CandidateMove::Wait;
+                let claim_delay_ms = self.claim_delay_ms(LARGE_PERMILLE);
+                if backs_off || now.saturating_sub(first_ms) < claim_delay_ms {
+                    return CandidateAction::Wait;
                 }
                 self.claim(0, version)
             }
             Some(holder) => {
                 let own = self.is_own(&holder);
                 let largest_permille = self.largest_permille(now, &holder);
-                let deference_ms = if own {
+                let claim_delay_ms = if own {
                     0
                 } else {
-                    self.deference_ms(largest_permille)
+                    self.claim_delay_ms(largest_permille)
                 };
-                let refused = self.refused.is_some_and(|refused| refused.is(&holder, now));
-                let stall_ms = stall.of(&holder, refused) + deference_ms;
-                let deferred = now.saturating_sub(first_ms) >= deference_ms;
-                let free = own || (holder.released && deferred);
-                let seen_still_ms = now.saturating_sub(first_ms);
+                let refused = self
+                    .refused
+                    .is_some_and(|refused| refused.applies_to(&holder, now));
+                let stall_ms = stall.for_holder(&holder, refused) + claim_delay_ms;
+                let delay_passed = now.saturating_sub(first_ms) >= claim_delay_ms;
+                let free = own || (holder.released && delay_passed);
+                let seen_age_ms = now.saturating_sub(first_ms);
                 let written_ms = holder.written_store_ms;
-                let said_still_ms = if written_ms == 0 {
+                let written_age_ms = if written_ms == 0 {
                     0
                 } else {
                     store_ms.saturating_sub(written_ms)
@@ -323,12 +334,12 @@
                 let readable_for_ms = self
                     .readable_ms
                     .map_or(Millis::MAX, |at_ms| now.saturating_sub(at_ms));
-                let age_ms = seen_still_ms.max(said_still_ms).min(readable_for_ms);
-                let stalled = age_ms >= stall_ms && deferred;
-                if !abstains && (free || stalled || self.outranks(now, &holder)) {
+                let age_ms = seen_age_ms.max(written_age_ms).min(readable_for_ms);
+                let stalled = age_ms >= stall_ms && delay_passed;
+                if !backs_off && (free || stalled || self.is_preferred_over(now, &holder)) {
                     return self.claim(holder.term, version);
                 }
-                CandidateMove::Follow {
+                CandidateAction::Follow {
                     holder,
                     claim_in_ms: stall_ms.saturating_sub(age_ms),
                 }
@@ -336,12 +347,12 @@
         }
     }
 
-    /// Returns whether the holder is this process, or an earlier one on this machine.
+    /// Returns whether the holder is this process or an earlier one on this machine.
     fn is_own(&self, holder: &HolderRow) -> bool {
         holder.node == self.identity.node && holder.address == self.identity.address
     }
 
-    fn claim(&self, term: u64, version: RowVersion) -> CandidateMove {
+    fn claim(&self, term: u64, version: RowVersion) -> CandidateAction {
         let row = HolderRow {
             term: term + 1,
             node: self.identity.node.clone(),
@@ -367,16 +378,16 @@
             changes: vec![RowChange::Put(key, row.encode())],
             timeout_ms: CLAIM_TIMEOUT_MS,
         };
-        CandidateMove::Claim(batch, row)
+        CandidateAction::Claim(batch, row)
     }
 
-    /// Returns the batch that renews a claim while its holder does not plan yet.
+    /// Returns the batch that renews a claim before the planner of its holder is running.
     #[must_use]
     pub fn renewal(takeover: &Takeover) -> Batch {
         Self::next_batch(takeover, false)
     }
 
-    /// Returns the batch that hands such a claim back.
+    /// Returns the batch that releases such a claim.
     #[must_use]
     pub fn hand_back(takeover: &Takeover) -> Batch {
         Self::next_batch(takeover, true)
--- a/crates/chervilfall_planner/src/event.rs
+++ b/crates/chervilfall_planner/src/event.rs
@@ -1,4 +1,4 @@
-//! What a planner is told.
+//! Events that a planner receives, and the requests and answers that they carry.
 
 use std::sync::Arc;
 
@@ -11,39 +11,39 @@
 use crate::endpoint::{EndpointEntry, EndpointKey};
 use crate::ids::{EndpointId, JobId, Millis, Run, TaskKey, UnixMillis};
 use crate::job::JobSpec;
-use crate::planner::Look;
+use crate::planner::LookupResult;
 use crate::record::ProgressRow;
 use crate::starts::StartNote;
 
-/// Number of a linked node; 0 is the planner's own.
+/// Number of a linked node; 0 is the planner's own node.
 pub type NodeId = u32;
 
-/// Opaque permission to start a step on an endpoint.
+/// Opaque ticket that permits starting a step on an endpoint.
 pub type Ticket = String;
 
-/// Who asks about a job.
+/// Identity of a caller that asks about a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asker {
-    /// Client account; none if the call needs no key.
+    /// Client account; none if the call requires no API key.
     pub account: Option<AccountName>,
-    /// Queue that the call names.
+    /// Queue named in the call.
     pub queue: QueueName,
 }
 
 /// A caller's request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Hands a job in.
+    /// Submits a job.
     Submit {
-        /// Queue that it is for, as the node that took it knows the queue.
+        /// Queue of the job, with the settings known to the node that received the request.
         queue: Queue,
-        /// Its name.
+        /// Identifier of the job.
         id: JobId,
         /// What to run.
         spec: JobSpec,
         /// How long the submission may wait for the store before it is refused.
         wait_ms: Millis,
-        /// Client account that hands it in; none if none is needed.
+        /// Client account that submits it; none if none is required.
         #[serde(default)]
         account: Option<AccountName>,
     },
@@ -51,7 +51,7 @@
     State {
         /// The job.
         id: JobId,
-        /// Who asks.
+        /// The caller.
         #[serde(default)]
         asker: Asker,
     },
@@ -59,11 +59,11 @@
     Cancel {
         /// The job.
         id: JobId,
-        /// Who asks.
+        /// The caller.
         #[serde(default)]
         asker: Asker,
     },
-    /// Asks how many jobs of a queue have not started.
+    /// Asks for the number of jobs of a queue that have not started.
     Waiting {
         /// The queue.
         queue: QueueName,
@@ -71,7 +71,7 @@
 }
 
 impl Request {
-    /// Returns the job that it names.
+    /// Returns the job named in the request.
     pub(crate) const fn job(&self) -> Option<JobId> {
         match self {
             Self::Submit { id, .. } | Self::State { id, .. } | Self::Cancel { id, .. } => Some(*id),
@@ -80,46 +80,46 @@
     }
 }
 
-/// Why an endpoint refused an order that it has not carried out.
+/// Why an endpoint refused an order without carrying it out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
     /// It has seen a higher fencing token.
     Fence,
-    /// A run as high was stopped or ended there.
+    /// A run of the task with the same or a higher number has been stopped or has ended there.
     Old,
-    /// The order came after its bound.
+    /// The order arrived after its deadline.
     Late,
-    /// Its capacity is used.
+    /// Its capacity is exhausted.
     Room,
     /// The ticket is not valid.
     Ticket,
     /// It is unhealthy or overloaded.
     Unhealthy,
-    /// It finds the order malformed.
+    /// It considers the order malformed.
     Malformed,
 }
 
 /// Answer to a start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run is there.
+    /// The run is on the endpoint.
     Accepted,
-    /// It has not been started.
+    /// The run was not started.
     Refused(Refusal),
     /// Another incarnation is at the address.
     OtherIncarnation,
-    /// No answer: it may have been started, or may be later.
+    /// No answer: the run may have been started, or may still be started later.
     Unanswered,
 }
 
 /// Answer to a stop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StopAnswer {
-    /// The run is being stopped, or never starts there.
+    /// The run is being stopped, or will never start there.
     Accepted,
-    /// A higher fencing token is known there.
+    /// The endpoint has seen a higher fencing token.
     Fenced,
-    /// The endpoint could not take the order.
+    /// The endpoint could not accept the order.
     Refused,
     /// Another incarnation is at the address.
     OtherIncarnation,
@@ -127,9 +127,9 @@
     Unanswered,
 }
 
-/// How a run ended.
+/// Why a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum EndReason {
     /// It completed.
     Done,
     /// It failed.
@@ -140,48 +140,50 @@
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang never came.
+    /// The other members of its gang were never started.
     Alone,
 }
 
-/// A run at work.
+/// A run in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningRun {
     /// The task.
     pub task: TaskKey,
-    /// The start.
+    /// Number of the run.
     pub run: Run,
-    /// Newest checkpoint, empty for none.
+    /// Newest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// A run that ended and was not yet acknowledged.
+/// A run that has ended and whose end is not yet acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedRun {
     /// Number of the end in this incarnation.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// The start.
+    /// Number of the run.
     pub run: Run,
-    /// How it ended.
-    pub how: How,
-    /// Newest checkpoint, empty for none.
+    /// Why it ended.
+    pub how: EndReason,
+    /// Newest checkpoint; empty for none.
     pub checkpoint: String,
 }
 
-/// What runs on an endpoint and what ended.
+/// Runs in progress on an endpoint, and ends that are not yet acknowledged.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HoldReport {
-    /// When the incarnation that answers was started, by its own clock of the day; none where endpoints do not say.
+    /// When the answering incarnation started, by its own wall clock; none if endpoints do not
+    /// report it.
     pub born_ms: Option<UnixMillis>,
     /// The endpoint's clock when it answered.
     pub clock_ms: Millis,
-    /// Runs at work, those that are being stopped too.
+    /// Runs in progress, including those that are being stopped.
     pub running: Vec<RunningRun>,
-    /// Ends that were not acknowledged, up to the first that could not be read.
+    /// Ends that are not acknowledged, up to the first that could not be read.
     pub ended: Vec<EndedRun>,
-    /// Rows of the lists could not be read: what is not listed may be there, or may have ended.
+    /// Rows of the lists could not be read: a run that is not listed may be running or may have
+    /// ended.
     pub partial: bool,
 }
 
@@ -190,9 +192,9 @@
 pub enum HoldAnswer {
     /// The lists.
     Report(HoldReport),
-    /// A higher fencing token is known there.
+    /// The endpoint has seen a higher fencing token.
     Fenced,
-    /// The endpoint could not take the call.
+    /// The endpoint could not accept the call.
     Refused,
     /// Another incarnation is at the address.
     OtherIncarnation,
@@ -209,23 +211,23 @@
     Failed,
 }
 
-/// What a planner is told.
+/// An event that a planner receives.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller's request.
     Request {
-        /// Where the answer goes.
+        /// Destination of the answer.
         to: ReplyTo,
-        /// What is asked.
+        /// The request.
         request: Request,
     },
-    /// The nodes that can call for advice have changed.
+    /// The set of nodes that can call the advice service has changed.
     Nodes(Vec<NodeId>),
-    /// A configuration is in force.
+    /// A configuration is now in force.
     Configured(Arc<Configuration>),
     /// The list of endpoints was read.
     Endpoints {
-        /// When the reading was asked for.
+        /// When the reading was requested.
         read_ms: Millis,
         /// The list.
         entries: Vec<EndpointEntry>,
@@ -234,9 +236,9 @@
     Committed {
         /// Its number.
         number: u64,
-        /// Which copy was answered.
+        /// Index of the copy that was answered.
         copy: usize,
-        /// What came of it.
+        /// Outcome.
         outcome: CommitOutcome,
     },
     /// A start was answered.
@@ -245,9 +247,9 @@
         endpoint: EndpointKey,
         /// The task.
         task: TaskKey,
-        /// The start.
+        /// Number of the run.
         run: Run,
-        /// What came of it.
+        /// Answer.
         answer: StartAnswer,
     },
     /// A stop was answered.
@@ -256,9 +258,9 @@
         endpoint: EndpointKey,
         /// The task.
         task: TaskKey,
-        /// The start.
+        /// Number of the run.
         run: Run,
-        /// What came of it.
+        /// Answer.
         answer: StopAnswer,
     },
     /// A hold was answered.
@@ -267,43 +269,43 @@
         endpoint: EndpointKey,
         /// When it was sent.
         sent_ms: Millis,
-        /// What came of it.
+        /// Answer.
         answer: HoldAnswer,
     },
     /// A call for advice was answered.
     Advised {
         /// Number of the call.
         number: u64,
-        /// What came of it.
+        /// Answer.
         answer: AdviceAnswer,
     },
-    /// A node that held the group before tells what it has started and could not store.
+    /// An earlier holder reports the runs that it has started without storing a record of them.
     UnstoredStarts(Vec<StartNote>),
     /// Texts of inherited jobs were read.
     Texts(Vec<(JobId, Arc<str>)>),
-    /// The text of a job was read whose turn has come.
+    /// The text of a job that is about to start was read.
     TextRead {
         /// The job.
         id: JobId,
-        /// The text; none if the store has not answered.
+        /// The text; none if the store did not answer.
         text: Option<Arc<str>>,
     },
-    /// All texts were read.
+    /// The texts of all inherited jobs were read.
     TextsRead,
-    /// Rows of jobs that have ended were read.
+    /// Rows of ended jobs were read.
     Ended(Vec<(JobId, ProgressRow)>),
-    /// All rows of jobs that have ended were read.
+    /// All rows of ended jobs were read.
     HistoryRead,
-    /// The row of an ended job was looked for.
+    /// The row of an ended job was looked up.
     LookedUp {
         /// The job.
         id: JobId,
-        /// What was found.
-        look: Look,
+        /// Result.
+        look: LookupResult,
     },
     /// Time has passed.
     Tick {
-        /// Time of day, in milliseconds since 1970.
+        /// Wall-clock time, in milliseconds since the Unix epoch.
         unix_ms: u64,
     },
 }
--- a/crates/chervilfall_planner/src/ids.rs
+++ b/crates/chervilfall_planner/src/ids.rs
@@ -1,34 +1,34 @@
-//! Names and numbers.
+//! Identifiers, times and version numbers.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds on a steady clock; whose clock, the field that holds it says.
+/// Milliseconds on a monotonic clock. Each field that holds one documents whose clock it is.
 pub type Millis = u64;
 
-/// Time of day, in milliseconds since 1970. It may step back.
+/// Wall-clock time in milliseconds since the Unix epoch. It may step back.
 pub type UnixMillis = u64;
 
-/// Version of a row in the store; it grows with every transaction.
+/// Version of a row in the store. It increases with every transaction.
 pub type RowVersion = u64;
 
 /// Fencing token: the version of the transaction that claimed the group.
 pub type Fence = u64;
 
-/// Number of a start of a task; it grows with every start of that task.
+/// Number of a run of a task. It increases with every start of that task.
 pub type Run = u64;
 
-/// Name of a job, chosen by its caller.
+/// Identifier of a job, chosen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobId(pub u64);
 
-/// A text that is no job's name.
+/// Error for a text that is not a valid job identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "a job's name has 16 lower-case hexadecimal digits, this has {0} bytes or other characters"
 )]
 pub struct InvalidJobId(usize);
 
-/// Digits of a job's name.
+/// Number of hexadecimal digits in a job identifier.
 const JOB_ID_DIGITS: usize = 16;
 
 impl std::str::FromStr for JobId {
@@ -53,16 +53,16 @@
     }
 }
 
-/// Names one task: a member of a step in one occurrence of a job.
+/// Identifies a task of a step in one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
     /// The job.
     pub job: JobId,
-    /// Occurrence of a repeated job, 0 for others.
+    /// Occurrence of a repeated job; 0 for other jobs.
     pub occurrence: u32,
-    /// Position of the step in the job.
+    /// Index of the step in the job.
     pub step: u16,
-    /// Position of the task in the step.
+    /// Index of the task in the step.
     pub index: u32,
 }
 
@@ -78,8 +78,8 @@
     }
 }
 
-/// Name of an endpoint. It may start again under the same name; [`HoldReport::born_ms`](crate::HoldReport::born_ms)
-/// tells the incarnations apart.
+/// Name of an endpoint. An endpoint may restart under the same name;
+/// [`HoldReport::born_ms`](crate::HoldReport::born_ms) distinguishes its incarnations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub String);
 
--- a/crates/chervilfall_planner/src/limits.rs
+++ b/crates/chervilfall_planner/src/limits.rs
@@ -1,4 +1,4 @@
-//! Timings and limits of a planner, with the origin of each default.
+//! Timings and limits of a planner, with the reason for each default.
 
 use crate::ids::Millis;
 use crate::policy::switches::Policies;
@@ -6,103 +6,111 @@
 /// Timings and limits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Limits {
-    /// Lease that a hold grants an endpoint's tasks. It outlasts a takeover, which takes up to 1.9 s;
-    /// a longer one keeps the tasks of lost endpoints waiting.
+    /// Lease that a hold grants to an endpoint's tasks. It outlasts a takeover, which takes up to
+    /// 1.9 s; a longer lease would delay the restart of tasks of lost endpoints.
     pub lease_ms: Millis,
-    /// Longest lease that endpoints grant.
+    /// Longest lease that endpoints accept.
     pub lease_max_ms: Millis,
-    /// Leases reach no further than this after the last commit. It has to outlast outages of the
-    /// store; a successor waits as long for endpoints that it cannot reach.
+    /// Maximum lease expiry after the last commit. It must outlast outages of the store; a
+    /// successor waits this long for endpoints that it cannot reach.
     pub claim_cover_ms: Millis,
-    /// Drift of an endpoint's clock against this one, in thousandths.
+    /// Maximum drift of an endpoint's clock relative to the planner's, in thousandths.
     pub drift_permille: u64,
     /// Uncertainty of readings of other clocks.
     pub clock_slack_ms: Millis,
-    /// Shortest time between the starts of two commits; trades latency for calls.
+    /// Minimum time between the starts of two commits; trades latency for fewer calls.
     pub commit_gap_ms: Millis,
-    /// A commit renews the claim at least this often, so that followers notice a lost holder soon: 7 writes
-    /// a second of the hundreds that the store takes.
+    /// Maximum time between commits. Each commit renews the claim, so followers soon notice a lost
+    /// holder. This takes 7 of the hundreds of writes per second that the store supports.
     pub renew_ms: Millis,
-    /// Pause before a commit is repeated that the store has refused or left without an answer.
+    /// Pause before a commit that the store has refused or not answered is repeated.
     pub commit_retry_ms: Millis,
-    /// Shortest wait before a second copy of a commit is sent beside the first: many times what a
-    /// sound store takes. Whichever copy comes first, the others find the claim moved.
+    /// Minimum wait before a second copy of a commit is sent while the first is in flight: many
+    /// times what a healthy store takes. Once one copy is applied, the others fail their condition
+    /// on the claim row.
     pub commit_copy_ms: Millis,
-    /// Most copies of a commit on their way.
+    /// Maximum number of copies of a commit in flight.
     pub commit_copies: usize,
-    /// How long the answer to a copy is awaited: some times what a slow store takes.
+    /// How long to wait for the answer to a copy: several times what a slow store takes.
     pub commit_timeout_ms: Millis,
-    /// Most rows of a commit; the store takes 100 entries.
+    /// Maximum number of rows in a commit; the store accepts 100 entries.
     pub commit_rows: usize,
-    /// Most bytes of values in a commit; the store takes a megabyte with encoding.
+    /// Maximum bytes of values in a commit; the store accepts a megabyte including encoding.
     pub commit_bytes: usize,
-    /// Most submissions that wait for the store; more are refused at once.
+    /// Maximum number of submissions that wait for the store; further ones are refused immediately.
     pub accept_queue: usize,
-    /// How long a hold may wait for an end.
+    /// How long an endpoint may delay its answer to a hold while no run ends.
     pub hold_wait_ms: Millis,
-    /// How long the answer of a hold is awaited beyond that: many times what a sound endpoint takes.
+    /// Additional time to wait for the answer to a hold: many times what a healthy endpoint takes.
     pub hold_answer_ms: Millis,
-    /// Pause between a report and the next hold of its endpoint, so that a hold brings several ends: a busy
-    /// endpoint of 32 cores has one each 0.2 s.
+    /// Pause between a report and the next hold of the endpoint, so that one hold collects several
+    /// ends: on a busy endpoint with 32 cores, a run ends every 0.2 s.
     pub hold_gap_ms: Millis,
-    /// The same while hurried work runs there: on 350 endpoints a short request spends 0.1 s beside its run at the
-    /// median, and a wait for others' ends can double that.
-    pub hurried_hold_gap_ms: Millis,
-    /// Most holds of endpoints that have not answered this holder yet, on their way for less than `first_hold_ms`. A new holder
-    /// of a large fleet is kept from renewing its claim by answers that come all together.
+    /// The same while latency-sensitive work runs there. On 350 endpoints the median overhead of a
+    /// short request is 0.1 s, which waiting for other ends could double.
+    pub sensitive_hold_gap_ms: Millis,
+    /// Maximum number of holds in flight for less than `first_hold_ms` to endpoints that have not
+    /// answered this holder yet. If all endpoints of a large fleet answered at once, a new holder
+    /// would be too busy to renew its claim.
     pub first_holds: usize,
-    /// The same, of those that have left a hold unanswered.
+    /// The same for endpoints that have left a hold unanswered.
     pub repeated_holds: usize,
-    /// Time after which such a hold makes room for others: its endpoint may not answer.
+    /// Time after which such a hold no longer counts, because its endpoint may never answer.
     pub first_hold_ms: Millis,
-    /// Longest pause before an endpoint that runs nothing is held again. There is nothing to hear from it, and on a large fleet
-    /// the holds of all such endpoints keep the holder's processor from callers' work.
-    pub rest_ms: Millis,
-    /// Endpoints for which the pause is a millisecond: on a small fleet it is short, as lost endpoints are found by holds.
-    pub rest_endpoints: usize,
-    /// Pause before a hold that follows an unanswered one.
+    /// Maximum interval between holds of an endpoint that runs nothing. Such an endpoint has
+    /// nothing to report, and on a large fleet these holds would take CPU time from callers'
+    /// requests.
+    pub max_idle_hold_interval_ms: Millis,
+    /// Number of endpoints for each millisecond of the idle hold interval. The interval is short on
+    /// a small fleet because holds detect lost endpoints.
+    pub idle_endpoints_per_ms: usize,
+    /// Pause before the hold that follows an unanswered one.
     pub hold_retry_ms: Millis,
-    /// An endpoint that has not answered for this long gets no starts and no longer leases: it has
-    /// left a hold unanswered.
+    /// An endpoint that has been silent for this long, and thus has left a hold unanswered, gets no
+    /// starts and no further leases.
     pub silent_ms: Millis,
-    /// An endpoint that does not guard its capacity gets no starts if it has not been seen to say anew what it is for
-    /// this long. A node works it out from its settings; the default is what their defaults give.
+    /// An endpoint that does not enforce its capacity gets no starts if its latest status report is
+    /// older than this. A node computes the value from its settings; this default results from
+    /// their defaults.
     pub report_age_ms: Millis,
-    /// A stop is repeated after this.
+    /// Interval at which a stop is repeated.
     pub stop_retry_ms: Millis,
-    /// Pause of starts on an endpoint that refused or left one unanswered.
+    /// Pause of starts on an endpoint that refused a start or left one unanswered.
     pub start_pause_ms: Millis,
-    /// Most copies of a start that are sent before the run is withdrawn.
+    /// Maximum number of copies of a start that are sent before the run is withdrawn.
     pub start_copies: u32,
-    /// Time left on a ticket for a start to reach the endpoint.
+    /// Minimum remaining validity of a ticket, so that the start can reach the endpoint in time.
     pub ticket_margin_ms: Millis,
-    /// Most endpoints in a call for advice.
+    /// Maximum number of endpoints in an advice call.
     pub advice_endpoints: usize,
-    /// Time added to the stated time of a call for advice before it counts as lost.
+    /// Time added to the stated duration of an advice call before the call counts as failed.
     pub advice_slack_ms: Millis,
-    /// How long a finished job can be asked for.
+    /// How long the state of a finished job remains available.
     pub status_ms: Millis,
-    /// Longest time between passes over the open steps when nothing has changed.
+    /// Maximum time between passes over the open steps when nothing has changed.
     pub pass_ms: Millis,
-    /// Most jobs that are remembered because they were cancelled before they came, so that strangers cannot fill
-    /// the store: 2,000 small rows, an estimate of far more than come in a wave of cancels.
-    pub awaited_jobs: usize,
-    /// Most bytes of a row.
+    /// Maximum number of records of jobs that were cancelled before they were submitted, so that
+    /// calls for unknown jobs cannot fill the store. 2,000 small rows are estimated to be far more
+    /// than a wave of cancellations needs.
+    pub max_pre_cancelled_jobs: usize,
+    /// Maximum bytes of a row.
     pub row_bytes: usize,
     /// Policies in force.
     pub policies: Policies,
 }
 
 impl Limits {
-    /// Returns the pause before an endpoint that runs nothing is held again, on a fleet of so many.
-    pub(crate) fn rest_of(&self, endpoints: usize) -> Millis {
-        let pause_ms = endpoints / self.rest_endpoints.max(1);
-        self.rest_ms.min(pause_ms as Millis)
+    /// Returns the interval between holds of an endpoint that runs nothing, for a fleet of
+    /// `endpoints` endpoints.
+    pub(crate) fn idle_hold_interval_ms(&self, endpoints: usize) -> Millis {
+        let pause_ms = endpoints / self.idle_endpoints_per_ms.max(1);
+        self.max_idle_hold_interval_ms.min(pause_ms as Millis)
     }
 
-    /// Returns when an endpoint was heard whose answer to a hold has come: now, or when the hold was sent if the answer
-    /// has lain here since, because this holder stood still. Another incarnation may be there by now.
-    pub(crate) const fn heard_ms(&self, now: Millis, sent_ms: Millis) -> Millis {
+    /// Returns the time of contact for an answer to a hold: now, or when the hold was sent if the
+    /// answer is overdue. Such an answer may have waited here while this process was paused, and
+    /// another incarnation may have started since.
+    pub(crate) const fn last_contact_ms(&self, now: Millis, sent_ms: Millis) -> Millis {
         if now.saturating_sub(sent_ms) > self.hold_wait_ms + self.hold_answer_ms {
             sent_ms
         } else {
@@ -131,12 +139,12 @@
             hold_wait_ms: 600,
             hold_answer_ms: 350,
             hold_gap_ms: 100,
-            hurried_hold_gap_ms: 10,
+            sensitive_hold_gap_ms: 10,
             first_holds: 128,
             repeated_holds: 32,
             first_hold_ms: 100,
-            rest_ms: 1_500,
-            rest_endpoints: 2,
+            max_idle_hold_interval_ms: 1_500,
+            idle_endpoints_per_ms: 2,
             hold_retry_ms: 200,
             silent_ms: 950,
             report_age_ms: 3_800,
@@ -148,7 +156,7 @@
             advice_slack_ms: 600,
             status_ms: 150_000,
             pass_ms: 50,
-            awaited_jobs: 2_000,
+            max_pre_cancelled_jobs: 2_000,
             row_bytes: 65_536,
             policies: Policies::default(),
         }
--- a/crates/chervilfall_planner/src/meters.rs
+++ b/crates/chervilfall_planner/src/metrics.rs
@@ -1,21 +1,21 @@
-//! What a planner counts and times, by the conventions of Prometheus.
+//! Prometheus metrics of a planner.
 
 use metrics::{counter, gauge, histogram};
 
-use crate::event::{How, Refusal};
+use crate::event::{EndReason, Refusal};
 use crate::ids::Millis;
-use crate::placed::LossReason;
+use crate::placed_run::LossReason;
 
 fn seconds(ms: Millis) -> f64 {
     ms as f64 / 1_000.0
 }
 
-/// Times a commit from its first copy to its answer.
+/// Records the duration of a commit from its first copy to its answer.
 pub(crate) fn commit(took_ms: Millis) {
     histogram!("chervilfall_commit_seconds").record(seconds(took_ms));
 }
 
-/// Counts a submission that was stored, and how long that took.
+/// Counts a stored submission and records how long storing it took.
 pub(crate) fn accepted(waited_ms: Millis) {
     counter!("chervilfall_jobs_accepted_total").increment(1);
     histogram!("chervilfall_accept_seconds").record(seconds(waited_ms));
@@ -26,17 +26,17 @@
     counter!("chervilfall_jobs_refused_total", "reason" => reason).increment(1);
 }
 
-/// Times a job from acceptance to its first start, by the queue's priority.
+/// Records the time from a job's acceptance to its first start, by the queue's priority.
 pub(crate) fn first_start(priority: u32, waited_ms: Millis) {
     let priority = priority.to_string();
     histogram!("chervilfall_first_start_seconds", "priority" => priority)
         .record(seconds(waited_ms));
 }
 
-/// Accounts that metrics show at most: each is a series of its own.
-pub(crate) const MOST_ACCOUNTS: usize = 256;
+/// Maximum number of accounts shown in metrics, because each adds time series of its own.
+pub(crate) const MAX_ACCOUNTS: usize = 256;
 
-/// Shows what an account uses of the endpoints, and may use.
+/// Sets the gauges for the CPU that an account uses and for its quota.
 pub(crate) fn account(name: &str, used_cpu_milli: u64, quota_cpu_milli: u64) {
     gauge!("chervilfall_account_cpu_milli", "account" => name.to_owned())
         .set(used_cpu_milli as f64);
@@ -69,50 +69,50 @@
 }
 
 /// Counts the end of a run.
-pub(crate) fn ended(how: How) {
+pub(crate) fn ended(how: EndReason) {
     let how = match how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
-        How::Broken => "broken",
-        How::Alone => "alone",
+        EndReason::Done => "done",
+        EndReason::Failed => "failed",
+        EndReason::Stopped => "stopped",
+        EndReason::Lapsed => "lapsed",
+        EndReason::Broken => "broken",
+        EndReason::Alone => "alone",
     };
     counter!("chervilfall_runs_ended_total", "how" => how).increment(1);
 }
 
-/// Times a call for advice.
+/// Records the duration of an advice call.
 pub(crate) fn advice(took_ms: Millis, answered: bool) {
     let outcome = if answered { "answered" } else { "failed" };
     histogram!("chervilfall_advice_seconds", "outcome" => outcome).record(seconds(took_ms));
 }
 
-/// Counts endpoints whose leases lapsed.
+/// Counts an endpoint whose leases have lapsed.
 pub(crate) fn lapsed() {
     counter!("chervilfall_endpoints_lapsed_total").increment(1);
 }
 
-/// Counts endpoints that have started again under their name.
+/// Counts an endpoint that has restarted under the same name.
 pub(crate) fn started_again() {
     counter!("chervilfall_endpoints_started_again_total").increment(1);
 }
 
-/// Counts a run that an endpoint lists neither at work nor among its ends.
-pub(crate) fn not_there() {
+/// Counts a run that its endpoint lists neither as running nor as ended.
+pub(crate) fn run_missing() {
     counter!("chervilfall_runs_not_there_total").increment(1);
 }
 
-/// Counts a run that was lost with its endpoint.
+/// Counts a run lost with its endpoint.
 pub(crate) fn run_lost(reason: LossReason) {
-    counter!("chervilfall_runs_lost_total", "reason" => reason.word()).increment(1);
+    counter!("chervilfall_runs_lost_total", "reason" => reason.label()).increment(1);
 }
 
-/// Counts a job that is given up.
+/// Counts a job that was given up.
 pub(crate) fn given_up(reason: &'static str) {
     counter!("chervilfall_jobs_given_up_total", "reason" => reason).increment(1);
 }
 
-/// Times how long callers were without a holder, until what was seen first.
+/// Records how long callers were without service at a takeover, by the event that ended the gap.
 pub(crate) fn resumed(seen: &'static str, gap_ms: Millis) {
     histogram!("chervilfall_takeover_seconds", "until" => seen).record(seconds(gap_ms));
 }
@@ -122,7 +122,7 @@
     counter!("chervilfall_takeovers_total").increment(1);
 }
 
-/// Shows how much waits.
+/// Sets the gauges for open steps, unsaved jobs and the age of the claim.
 pub(crate) fn queues(open_steps: usize, unsaved_jobs: usize, claim_age_ms: Millis) {
     gauge!("chervilfall_open_steps").set(open_steps as f64);
     gauge!("chervilfall_unsaved_jobs").set(unsaved_jobs as f64);
--- a/crates/chervilfall_planner/src/policy/crashes.rs
+++ b/crates/chervilfall_planner/src/policy/crashes.rs
@@ -1,98 +1,117 @@
-//! Which task brings down the endpoints that run it.
+//! Identification of tasks that crash the endpoints that run them.
 //!
-//! An endpoint that has crashed reports nothing, so that its runs leave no end that could count as a failed attempt.
-//! Started anew without a bound, one such task costs its group an endpoint each three seconds, and all that runs there
-//! begins anew. But a job that can be done is never shown as failed, and most runs that are lost in a crash have not
-//! caused it. So a task that has lost some endpoints is given one that runs nothing of other jobs, and only crashes of
-//! such convict it. Which of its own tasks is at fault does not matter: the job can't be done.
+//! A crashed endpoint reports no ends, so its runs do not count as failed attempts. If such a task
+//! were restarted without limit, its group would lose an endpoint every three seconds, and
+//! everything running there would have to start over. However, a job that can complete must never
+//! be reported as failed, and most runs lost in a crash did not cause it. A task that has lost
+//! several endpoints is therefore started only where no other job runs, and is given up only after
+//! crashes there or after very many crashes overall. It does not matter which task of the job is at
+//! fault, because the job cannot complete in any case.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{EndpointId, Millis, Run, UnixMillis};
 
-/// A run that its endpoint has been heard from for this long is not new there any more: it began well. Five times a
-/// hold's usual way and gap.
-pub(crate) const NEW_MS: Millis = 500;
-/// Lost endpoints from which on a task is given one of its own. One is what a bad day costs anybody; from three on, a task
-/// that does harm late could be started once more than allowed if a holder is lost with one of the notes.
-const ISOLATED_FROM: usize = 2;
-/// Crashes without company after which a task is the culprit, and how many it has caused in all then. One alone may be
-/// chance. Callers lose four endpoints to such a task, and five if a holder was lost that could not store the first.
+/// A run counts as new until its endpoint has stayed in contact for this long after the run was
+/// confirmed. Five times the usual round trip of a hold and the gap between holds.
+pub(crate) const NEW_RUN_MS: Millis = 500;
+/// Number of lost endpoints from which a task is isolated. Any task may lose one by chance. With a
+/// threshold of three, a task that crashes its endpoints late could be started once more than
+/// allowed if a holder is lost together with one of the records.
+const ISOLATION_THRESHOLD: usize = 2;
+/// Number of crashes without other jobs on the endpoint, and of crashes overall, from which a task
+/// is the culprit. A single isolated crash may be a coincidence. Such a task costs four endpoints,
+/// or five if a holder was lost that could not store the first crash.
 const CRASHES_ALONE: usize = 2;
 const CRASHES: usize = 4;
-/// The same if some of its starts were not answered: the endpoint may have crashed just before it could take them.
+/// The same if some of its starts were not answered, because the endpoint may have crashed just
+/// before it could accept them.
 const CRASHES_ALONE_UNANSWERED: usize = 3;
 const CRASHES_UNANSWERED: usize = 5;
-/// Crashes in any company after which a task is given up: it had no endpoint of its own in all that time, and whoever
-/// is at fault, no further endpoint is put at risk.
-const CRASHES_AT_MOST: usize = 10;
-/// A task that lasts and has been heard at work for this long is free of what was seen before: over days many of its
-/// endpoints crash.
-pub(crate) const LIVED_MS: Millis = 10_000;
+/// Number of crashes with or without other jobs from which a task is given up. It could not be
+/// isolated in all that time, and whatever the cause, no further endpoint is put at risk.
+const MAX_CRASHES: usize = 10;
+/// A long-running task that has been seen running for this long is cleared of earlier exposures,
+/// because over several days many of its endpoints may crash.
+pub(crate) const CLEARED_AFTER_MS: Millis = 10_000;
 
-/// What is known of the endpoint of a run.
+/// State of the endpoint to which an exposure refers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Fate {
-    /// The run may be at work there.
+pub(crate) enum ExposureState {
+    /// The run may still be in progress there.
     AtWork,
-    /// It was lost; whether it crashed or was cut off is not known.
+    /// The endpoint is lost; it is unknown whether it has crashed or been disconnected.
     Lost,
-    /// That incarnation is gone without having been asked to leave.
+    /// The incarnation has ended without having been asked to drain.
     Crashed,
 }
 
-/// A run that may have brought down its endpoint, or may yet.
+/// A run that may have crashed its endpoint, or may still do so.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Exposure {
     pub(crate) run: Run,
     pub(crate) endpoint: EndpointId,
-    /// When the incarnation was started; none in rows of earlier versions and where endpoints do not say.
+    /// When the incarnation started; none in rows of earlier versions and if endpoints do not
+    /// report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(crate) born_ms: Option<UnixMillis>,
-    pub(crate) fate: Fate,
-    /// It had just begun when the endpoint was last heard from.
+    pub(crate) fate: ExposureState,
+    /// The run had only just begun at the endpoint's last contact.
     pub(crate) new: bool,
-    /// Nothing of other jobs was there.
+    /// No other job had a run there.
     pub(crate) alone: bool,
-    /// The endpoint has told that it took the run.
+    /// The endpoint has confirmed the run.
     pub(crate) answered: bool,
 }
 
 impl Exposure {
-    /// Returns whether it is one to an incarnation, as far as that is told.
-    pub(crate) fn is_to(&self, endpoint: &EndpointId, born_ms: Option<UnixMillis>) -> bool {
+    /// Returns whether it refers to the given incarnation, as far as start times are known.
+    pub(crate) fn matches_incarnation(
+        &self,
+        endpoint: &EndpointId,
+        born_ms: Option<UnixMillis>,
+    ) -> bool {
         let known = self.born_ms.zip(born_ms);
         self.endpoint == *endpoint && known.is_none_or(|(own, seen)| own == seen)
     }
 }
 
-/// What the exposures of a task say about it.
+/// Conclusion about a task from its exposures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Verdict {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Clear,
-    /// It may be at fault: it is started where least else is lost with it, and only once that is stored.
+    /// It may be at fault: it is started where the fewest other runs are at risk, and only once a
+    /// record of the start is stored.
     Suspect,
-    /// Much speaks against it: it is started on an endpoint that runs nothing of other jobs.
+    /// It is likely at fault: it is started on an endpoint that runs no other job.
     Isolate,
-    /// It is at fault if the endpoints that were lost have crashed: it waits until that is known.
+    /// It is at fault if the lost endpoints have crashed, and waits until that is known.
     Awaited,
-    /// It brings its endpoints down.
+    /// It crashes its endpoints.
     Culprit,
 }
 
-/// Judges a task by its exposures.
+/// Returns the verdict on a task with the given exposures.
 pub(crate) fn verdict(exposures: &[Exposure]) -> Verdict {
-    let lost = Tally::of(exposures.iter().filter(|seen| seen.fate != Fate::AtWork));
+    let lost = Tally::of(
+        exposures
+            .iter()
+            .filter(|seen| seen.fate != ExposureState::AtWork),
+    );
     if lost.all == 0 {
         return Verdict::Clear;
     }
-    let crashed = Tally::of(exposures.iter().filter(|seen| seen.fate == Fate::Crashed));
-    if crashed.convicts() {
+    let crashed = Tally::of(
+        exposures
+            .iter()
+            .filter(|seen| seen.fate == ExposureState::Crashed),
+    );
+    if crashed.is_conclusive() {
         Verdict::Culprit
-    } else if lost.convicts() {
+    } else if lost.is_conclusive() {
         Verdict::Awaited
-    } else if lost.all >= ISOLATED_FROM {
+    } else if lost.all >= ISOLATION_THRESHOLD {
         Verdict::Isolate
     } else if lost.new > 0 {
         Verdict::Suspect
@@ -120,9 +139,9 @@
         })
     }
 
-    const fn convicts(self) -> bool {
+    const fn is_conclusive(self) -> bool {
         let surely = self.alone_answered >= CRASHES_ALONE && self.all >= CRASHES;
         let likely = self.alone >= CRASHES_ALONE_UNANSWERED && self.all >= CRASHES_UNANSWERED;
-        surely || likely || self.all >= CRASHES_AT_MOST
+        surely || likely || self.all >= MAX_CRASHES
     }
 }
--- a/crates/chervilfall_planner/src/policy/headroom.rs
+++ b/crates/chervilfall_planner/src/policy/headroom.rs
@@ -1,21 +1,23 @@
-//! Room that patient work leaves for hurried work.
+//! Headroom that latency-tolerant work leaves for latency-sensitive work.
 //!
-//! Batch work with a backlog fills every hole at once, and a short request that finds no room is late before
-//! one opens. So patient work goes into holes that are too small for hurried tasks, and into larger ones only
-//! while enough of these are left. Work that has waited for half of its objective is patient no longer.
+//! A backlog of batch work immediately takes all capacity that becomes free, and a short request
+//! that finds none is late before any does. Free capacity is therefore counted in slots of the size
+//! of a latency-sensitive task. Latency-tolerant work first uses capacity outside the slots, and
+//! takes slots only while enough of them stay open. Work that has waited for half of its objective
+//! no longer has to leave headroom.
 
 use crate::ids::Millis;
-use crate::room::Room;
+use crate::resources::Resources;
 
-/// Holes for hurried work, used and open, for each hurried task of the most that were at work lately: they
-/// come in bursts of twice the usual rate.
-const KEEP_FACTOR: f64 = 1.5;
-/// Time in which a peak of hurried work is forgotten.
+/// Number of slots, used and open, per latency-sensitive task at the recent peak. Such tasks arrive
+/// in bursts of twice the usual rate.
+const SLOT_FACTOR: f64 = 1.5;
+/// Time in which a peak of latency-sensitive work decays.
 const MEMORY_MS: f64 = 10_000.0;
-/// Weight of a new task in the size of hurried tasks: about the last fifty count.
+/// Weight of a new task in the mean size of latency-sensitive tasks; about the last fifty count.
 const SIZE_WEIGHT: f64 = 0.02;
 
-/// What hurried work has used lately.
+/// Recent usage by latency-sensitive work.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Headroom {
     peak: f64,
@@ -25,30 +27,31 @@
     memory_mb: f64,
 }
 
-/// Holes that patient work is to leave.
+/// Slots that are reserved as headroom for latency-sensitive work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Holes {
-    /// Size of a hole: the mean size of hurried tasks, so that one that ends leaves a hole.
-    pub(crate) size: Room,
-    /// Holes that are open.
+pub(crate) struct HeadroomSlots {
+    /// Size of a slot: the mean size of latency-sensitive tasks, so that each one that ends opens a
+    /// slot.
+    pub(crate) size: Resources,
+    /// Number of open slots.
     pub(crate) open: u32,
-    /// Holes to leave open.
-    pub(crate) keep: u32,
+    /// Number of slots to leave open.
+    pub(crate) min_open: u32,
 }
 
 impl Headroom {
-    /// Notes that a hurried task is started.
-    pub(crate) fn note_start(&mut self, room: Room) {
+    /// Records the start of a latency-sensitive task.
+    pub(crate) fn note_start(&mut self, resources: Resources) {
         let weight = if self.cpu_milli > 0.0 {
             SIZE_WEIGHT
         } else {
             1.0
         };
-        self.cpu_milli += weight * (room.cpu_milli as f64 - self.cpu_milli);
-        self.memory_mb += weight * (room.memory_mb as f64 - self.memory_mb);
+        self.cpu_milli += weight * (resources.cpu_milli as f64 - self.cpu_milli);
+        self.memory_mb += weight * (resources.memory_mb as f64 - self.memory_mb);
     }
 
-    /// Notes how many hurried tasks are at work.
+    /// Records how many latency-sensitive tasks are running.
     pub(crate) fn note_running(&mut self, now: Millis, running: u32) {
         let passed = now.saturating_sub(self.noted_ms) as f64 / MEMORY_MS;
         self.noted_ms = now;
@@ -56,43 +59,48 @@
         self.peak = (self.peak * (1.0 - passed.min(1.0))).max(f64::from(running));
     }
 
-    /// Returns the holes to leave among endpoints with this free room; none if there is no hurried work.
-    pub(crate) fn holes(&self, free: impl Iterator<Item = Room>) -> Option<Holes> {
-        // Sizes of tasks and their number fit many times.
+    /// Returns the slots to reserve on endpoints with these free resources; none if there is no
+    /// latency-sensitive work.
+    pub(crate) fn slots(&self, free: impl Iterator<Item = Resources>) -> Option<HeadroomSlots> {
+        // Sizes and numbers of tasks are far below the limits of the integer type.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let whole = |value: f64| value as u64;
-        let wanted = whole((self.peak * KEEP_FACTOR).ceil());
-        let wanted = u32::try_from(wanted).unwrap_or(u32::MAX);
-        let keep = wanted.saturating_sub(self.running);
-        if keep == 0 || self.cpu_milli < 1.0 {
+        let target = whole((self.peak * SLOT_FACTOR).ceil());
+        let target = u32::try_from(target).unwrap_or(u32::MAX);
+        let min_open = target.saturating_sub(self.running);
+        if min_open == 0 || self.cpu_milli < 1.0 {
             return None;
         }
-        let size = Room {
+        let size = Resources {
             cpu_milli: whole(self.cpu_milli),
             memory_mb: whole(self.memory_mb),
             gpus: 0,
         };
-        let open = free.map(|free| free.fits(size)).sum();
-        Some(Holes { size, open, keep })
+        let open = free.map(|free| free.max_fitting(size)).sum();
+        Some(HeadroomSlots {
+            size,
+            open,
+            min_open,
+        })
     }
 }
 
-impl Holes {
-    /// Returns what is left of free room beside its holes.
-    pub(crate) fn beside(&self, free: Room) -> Room {
-        free.minus(self.size.times(free.fits(self.size)))
+impl HeadroomSlots {
+    /// Returns the part of the free resources of an endpoint that lies outside its slots.
+    pub(crate) fn outside(&self, free: Resources) -> Resources {
+        free.minus(self.size.times(free.max_fitting(self.size)))
     }
 
-    /// Returns how many tasks that need `need` may be put into holes.
-    pub(crate) fn tasks(&self, need: Room) -> u32 {
-        let spare = self.open.saturating_sub(self.keep);
-        self.size.times(spare).fits(need)
+    /// Returns the maximum number of tasks that need `need` each and may be placed into slots.
+    pub(crate) fn max_tasks_inside(&self, need: Resources) -> u32 {
+        let spare = self.open.saturating_sub(self.min_open);
+        self.size.times(spare).max_fitting(need)
     }
 
-    /// Notes that a task was put into holes.
-    pub(crate) fn fill(&mut self, free_before: Room, need: Room) {
-        let left = free_before.minus(need).fits(self.size);
-        let closed = free_before.fits(self.size).saturating_sub(left);
+    /// Records that a task was placed into slots of an endpoint.
+    pub(crate) fn occupy(&mut self, free_before: Resources, need: Resources) {
+        let left = free_before.minus(need).max_fitting(self.size);
+        let closed = free_before.max_fitting(self.size).saturating_sub(left);
         self.open = self.open.saturating_sub(closed);
     }
 }
--- a/crates/chervilfall_planner/src/policy/mod.rs
+++ b/crates/chervilfall_planner/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Rules that decide, one a file.
+//! Scheduling policies, one per file.
 
 pub(crate) mod crashes;
 pub(crate) mod headroom;
@@ -7,5 +7,5 @@
 pub(crate) mod quarantine;
 pub(crate) mod share;
 pub(crate) mod speed;
-pub(crate) mod standstill;
+pub(crate) mod stall_timeout;
 pub(crate) mod switches;
--- a/crates/chervilfall_planner/src/policy/order.rs
+++ b/crates/chervilfall_planner/src/policy/order.rs
@@ -1,50 +1,51 @@
-//! Order in which steps that wait are offered room.
+//! Order in which waiting steps are offered free capacity.
 //!
-//! Under overload, first come first served makes every job late: each waits behind ones that have
-//! missed their objective already. So those go behind all that can still meet theirs. On a fleet of 350
-//! endpoints where calls for advice had fallen behind by 20 s, wide gangs met their objective in 38 of
-//! 320 cases without this rule; most of the others were asked about after their time.
+//! Under overload, serving jobs in order of arrival makes all of them late, because each waits
+//! behind jobs that have already missed their objective. Those jobs are therefore ranked behind all
+//! that can still meet theirs. Without this rule, on a fleet of 350 endpoints where advice calls
+//! were 20 s behind, wide gangs met their objective in 38 of 320 cases, and advice on most of the
+//! others was requested only after their objective had passed.
 
 use crate::ids::Millis;
-use crate::policy::placement::Haste;
+use crate::policy::placement::LatencyClass;
 use crate::tasks::{Job, StepKey};
 
-/// Times the objective after which a job is worth nothing more to its caller.
-const WORTHLESS_AFTER: u64 = 3;
+/// Multiple of the objective after which a job has no more value to its caller.
+const OVERDUE_FACTOR: u64 = 3;
 
-/// What can still be had of a job.
+/// Prospect of a job to meet its objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Prospect {
     /// It may complete within its objective.
     InTime,
-    /// It completes late.
+    /// It will complete late.
     Late,
-    /// It is so late that the order among these matters little.
+    /// It is so late that its position in the order matters little.
     Overdue,
 }
 
-/// Rank of a step; the lowest is offered room first.
+/// Rank of a step; the lowest is offered capacity first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    /// Work beyond an account's share comes after all other.
+    /// Work in excess of an account's share ranks behind all other work.
     beyond: bool,
     prospect: Prospect,
     priority: u32,
     accepted_unix_ms: u64,
 }
 
-/// Part of a job's objective, as a divisor, in which it has time to spare. The rest is left for its work, and
-/// for estimates that are off by a factor of two.
-const SPARE_PART: Millis = 2;
+/// A job has slack during the first part of its objective, given here as a divisor. The rest is
+/// needed for its work and for estimates that are off by a factor of two.
+const SLACK_DIVISOR: Millis = 2;
 
-/// Returns whether a job has time to spare.
-pub(crate) fn has_time(job: &Job, unix_ms: u64) -> bool {
+/// Returns whether a job still has slack.
+pub(crate) fn has_slack(job: &Job, unix_ms: u64) -> bool {
     let waited_ms = unix_ms.saturating_sub(job.accepted_unix_ms);
-    waited_ms < job.objective_ms / SPARE_PART
+    waited_ms < job.objective_ms / SLACK_DIVISOR
 }
 
-/// Returns the rank at `unix_ms`: by what can still be had, then by priority, then first come, first
-/// served.
+/// Returns the rank of a step at `unix_ms`: work within the account's share first, then by
+/// prospect, priority and order of acceptance.
 pub(crate) fn rank(job: &Job, key: StepKey, unix_ms: u64) -> Rank {
     let due_unix_ms = job.spec.due_unix_ms(key.occurrence);
     Rank {
@@ -55,28 +56,29 @@
     }
 }
 
-/// Returns the priority of a job: patient work that has no time to spare any more comes one class earlier, so
-/// that more urgent queues do not starve it until it is late.
+/// Returns the priority of a job. Latency-tolerant work without slack is raised by one level so
+/// that queues of higher priority do not starve it until it is late.
 fn effective_priority(job: &Job, unix_ms: u64) -> u32 {
-    let pressed = Haste::of(job) == Haste::Patient && !has_time(job, unix_ms);
-    job.queue.priority.saturating_sub(u32::from(pressed))
+    let out_of_slack = LatencyClass::of(job) == LatencyClass::Tolerant && !has_slack(job, unix_ms);
+    job.queue.priority.saturating_sub(u32::from(out_of_slack))
 }
 
 fn prospect(job: &Job, begin_unix_ms: u64, unix_ms: u64) -> Prospect {
     let objective_ms = job.objective_ms;
     let waited_ms = unix_ms.saturating_sub(begin_unix_ms);
-    if waited_ms + least_left_ms(job) < objective_ms {
+    if waited_ms + min_remaining_ms(job) < objective_ms {
         Prospect::InTime
-    } else if waited_ms < objective_ms.saturating_mul(WORTHLESS_AFTER) {
+    } else if waited_ms < objective_ms.saturating_mul(OVERDUE_FACTOR) {
         Prospect::Late
     } else {
         Prospect::Overdue
     }
 }
 
-/// Returns what a job takes at least from now on. Estimates are off by up to a factor of about two, so
-/// half of them is sure; how much of a job at work is left is not looked at.
-fn least_left_ms(job: &Job) -> Millis {
+/// Returns a lower bound for the remaining time of a job. Estimates are off by up to a factor of
+/// about two, so half of the estimate is certain. For a job that has started, the remaining work is
+/// not considered.
+fn min_remaining_ms(job: &Job) -> Millis {
     if job.started {
         0
     } else {
--- a/crates/chervilfall_planner/src/policy/placement.rs
+++ b/crates/chervilfall_planner/src/policy/placement.rs
@@ -1,54 +1,54 @@
-//! Which endpoint a task goes to.
+//! Selection of endpoints for tasks.
 
 use crate::endpoint::EndpointKey;
-use crate::policy::headroom::Holes;
-use crate::policy::speed::Pace;
-use crate::room::Room;
+use crate::policy::headroom::HeadroomSlots;
+use crate::policy::speed::SpeedClass;
+use crate::resources::Resources;
 use crate::tasks::Job;
 
-/// Objective, in percent of the longest chain of work, up to which work is hurried: a slow endpoint takes half
-/// of the time that it has to spare.
-const HURRIED_PERCENT: u64 = 220;
-/// The same from which on work is patient: it completes in time on a slow endpoint too.
-const PATIENT_PERCENT: u64 = 350;
+/// Objective, in percent of the longest chain of work, up to which work is latency-sensitive: on a
+/// slow endpoint it loses half of its slack.
+const SENSITIVE_PERCENT: u64 = 220;
+/// Objective from which work is latency-tolerant: it completes in time even on a slow endpoint.
+const TOLERANT_PERCENT: u64 = 350;
 
-/// Which endpoints suit a job by their speed.
+/// Latency class of a job, which determines the preferred speed of its endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Haste {
-    /// Fast ones.
-    Hurried,
-    /// Any but lagging ones.
-    Usual,
-    /// Slow ones, so that fast ones are left for others.
-    Patient,
+pub(crate) enum LatencyClass {
+    /// Prefers fast endpoints.
+    Sensitive,
+    /// Accepts all endpoints except lagging ones equally.
+    Standard,
+    /// Prefers slow endpoints, which leaves the fast ones to others.
+    Tolerant,
 }
 
-impl Haste {
-    /// Returns the haste of a job by how its objective compares with its work. Work without an estimate, and work
-    /// that lasts until it is cancelled, is neither hurried nor patient.
+impl LatencyClass {
+    /// Returns the class of a job by the ratio of its objective to its estimated work. Work without
+    /// an estimate and work that runs until it is cancelled is in the standard class.
     pub(crate) fn of(job: &Job) -> Self {
-        if job.chain_ms == 0 || job.lasts {
-            return Self::Usual;
+        if job.chain_ms == 0 || job.long_running {
+            return Self::Standard;
         }
         let percent = job.objective_ms * 100 / job.chain_ms;
-        if percent <= HURRIED_PERCENT {
-            Self::Hurried
-        } else if percent >= PATIENT_PERCENT {
-            Self::Patient
+        if percent <= SENSITIVE_PERCENT {
+            Self::Sensitive
+        } else if percent >= TOLERANT_PERCENT {
+            Self::Tolerant
         } else {
-            Self::Usual
+            Self::Standard
         }
     }
 
-    /// Returns the rank of an endpoint's speed; the lowest suits best.
-    pub(crate) const fn rank(self, pace: Pace) -> i8 {
-        if pace.lags() {
+    /// Returns the rank of an endpoint's speed class; the lowest rank is preferred.
+    pub(crate) const fn rank(self, speed_class: SpeedClass) -> i8 {
+        if speed_class.is_lagging() {
             return i8::MAX;
         }
         match self {
-            Self::Hurried => -pace.0,
-            Self::Usual => 0,
-            Self::Patient => pace.0,
+            Self::Sensitive => -speed_class.0,
+            Self::Standard => 0,
+            Self::Tolerant => speed_class.0,
         }
     }
 }
@@ -57,41 +57,48 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Offer {
     pub(crate) endpoint: EndpointKey,
-    pub(crate) free: Room,
-    /// Most further tasks of the step that the endpoint may be given.
-    pub(crate) most: u32,
+    pub(crate) free: Resources,
+    /// Maximum number of further tasks of the step that the endpoint may be given.
+    pub(crate) max_new_tasks: u32,
     /// A run of the step has failed there.
     pub(crate) failed: bool,
-    /// The step's data is on its rack, or the step does not ask for a rack.
+    /// The step's data is on its rack, or the step does not request a rack.
     pub(crate) near: bool,
-    /// How fast it is.
-    pub(crate) pace: Pace,
+    /// Speed class of the endpoint.
+    pub(crate) speed_class: SpeedClass,
 }
 
 impl Offer {
-    fn take(&mut self, need: Room) {
+    fn take(&mut self, need: Resources) {
         self.free = self.free.minus(need);
-        self.most -= 1;
+        self.max_new_tasks -= 1;
     }
 
-    /// Returns how many tasks it can be given.
-    pub(crate) fn fits(&self, need: Room) -> u32 {
-        self.free.fits(need).min(self.most)
+    /// Returns the maximum number of tasks that it can be given.
+    pub(crate) fn max_fitting(&self, need: Resources) -> u32 {
+        self.free.max_fitting(need).min(self.max_new_tasks)
     }
 }
 
-/// Picks endpoints for up to `count` tasks: those where the step has not failed and near ones first, of these
-/// those whose speed suits the work, and of these the one that is left with the least processor, so that large
-/// holes stay for wide tasks.
-pub(crate) fn pick(offers: &mut [Offer], need: Room, count: u32, haste: Haste) -> Vec<EndpointKey> {
+/// Picks endpoints for up to `count` tasks. Prefers endpoints where the step has not failed, then
+/// near ones, then those of the preferred speed class, then those with the least free CPU, which
+/// preserves large free capacity for wide tasks.
+pub(crate) fn pick_endpoints(
+    offers: &mut [Offer],
+    need: Resources,
+    count: u32,
+    latency_class: LatencyClass,
+) -> Vec<EndpointKey> {
     let mut picks = Vec::new();
     for _ in 0..count {
-        let fitting = offers.iter_mut().filter(|offer| offer.fits(need) > 0);
+        let fitting = offers
+            .iter_mut()
+            .filter(|offer| offer.max_fitting(need) > 0);
         let best = fitting.min_by_key(|offer| {
             (
                 offer.failed,
                 !offer.near,
-                haste.rank(offer.pace),
+                latency_class.rank(offer.speed_class),
                 offer.free.cpu_milli,
                 offer.free.memory_mb,
             )
@@ -105,29 +112,34 @@
     picks
 }
 
-/// Picks endpoints for up to `count` patient tasks: beside the holes for hurried work first, and in these only
-/// while enough of them are left.
-pub(crate) fn pick_beside(
+/// Picks endpoints for up to `count` latency-tolerant tasks: first outside the headroom slots, then
+/// inside them while enough slots stay open.
+pub(crate) fn pick_keeping_headroom(
     offers: &mut [Offer],
-    need: Room,
+    need: Resources,
     count: u32,
-    holes: &mut Holes,
+    slots: &mut HeadroomSlots,
 ) -> Vec<EndpointKey> {
-    let mut beside: Vec<Offer> = offers.to_vec();
-    for offer in &mut beside {
-        offer.free = holes.beside(offer.free);
+    let mut outside_slots: Vec<Offer> = offers.to_vec();
+    for offer in &mut outside_slots {
+        offer.free = slots.outside(offer.free);
     }
-    let mut picks = pick(&mut beside, need, count, Haste::Patient);
+    let mut picks = pick_endpoints(&mut outside_slots, need, count, LatencyClass::Tolerant);
     for endpoint in &picks {
         if let Some(offer) = offers.iter_mut().find(|offer| offer.endpoint == *endpoint) {
             offer.take(need);
         }
     }
     let left = count - u32::try_from(picks.len()).unwrap_or(count);
-    let more = pick(offers, need, left.min(holes.tasks(need)), Haste::Patient);
+    let more = pick_endpoints(
+        offers,
+        need,
+        left.min(slots.max_tasks_inside(need)),
+        LatencyClass::Tolerant,
+    );
     for endpoint in &more {
         if let Some(offer) = offers.iter().find(|offer| offer.endpoint == *endpoint) {
-            holes.fill(offer.free.add(need), need);
+            slots.occupy(offer.free.add(need), need);
         }
     }
     picks.extend(more);
@@ -135,15 +147,18 @@
 }
 
 /// Picks endpoints for all `count` tasks, or none.
-pub(crate) fn pick_all(
+pub(crate) fn pick_all_or_none(
     offers: &mut [Offer],
-    need: Room,
+    need: Resources,
     count: u32,
-    haste: Haste,
+    latency_class: LatencyClass,
 ) -> Option<Vec<EndpointKey>> {
-    let room: u64 = offers.iter().map(|offer| u64::from(offer.fits(need))).sum();
-    if room < u64::from(count) {
+    let fitting: u64 = offers
+        .iter()
+        .map(|offer| u64::from(offer.max_fitting(need)))
+        .sum();
+    if fitting < u64::from(count) {
         return None;
     }
-    Some(pick(offers, need, count, haste))
+    Some(pick_endpoints(offers, need, count, latency_class))
 }
--- a/crates/chervilfall_planner/src/policy/quarantine.rs
+++ b/crates/chervilfall_planner/src/policy/quarantine.rs
@@ -1,27 +1,27 @@
-//! Keeps work away from endpoints that fail what others run.
+//! Quarantine of endpoints on which runs of several jobs fail.
 
 use crate::ids::{JobId, Millis};
 
-/// Failed runs without a completed one in between after which an endpoint is suspect: a sound one
-/// that fails one run in twenty gets there once in 8,000 runs.
-const FAILURES: u32 = 3;
-/// First pause; it doubles with each failed trial.
-const PAUSE_MS: Millis = 2_000;
+/// Number of failed runs without a completed one in between from which an endpoint is quarantined.
+/// A sound endpoint that fails one run in twenty reaches this once in 8,000 runs.
+const FAILURE_THRESHOLD: u32 = 3;
+/// First pause, which doubles with each failed trial.
+const FIRST_PAUSE_MS: Millis = 2_000;
 /// Longest pause.
-const PAUSE_MAX_MS: Millis = 16_000;
+const MAX_PAUSE_MS: Millis = 16_000;
 
-/// What an endpoint's ends say about it.
+/// Quarantine state of an endpoint, derived from the ends of its runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum QuarantineState {
     /// It may be given work.
     Sound,
-    /// It is left alone.
+    /// It is given no work.
     Paused,
-    /// It may be given one task, whose end decides.
+    /// It may be given one task, whose outcome decides.
     Trial,
 }
 
-/// Counts an endpoint's ends.
+/// Failure count and pauses of an endpoint.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Quarantine {
     failures: u32,
@@ -31,12 +31,12 @@
 }
 
 impl Quarantine {
-    /// Notes a completed run.
+    /// Records a completed run.
     pub(crate) fn done(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failed run; returns the pause if the endpoint is to be left alone. Several failures
+    /// Records a failed run; returns the pause if the endpoint is quarantined. Consecutive failures
     /// of one job count once, since the job may be at fault.
     pub(crate) fn failed(&mut self, now: Millis, job: JobId) -> Option<Millis> {
         if self.last_job == Some(job) {
@@ -44,22 +44,22 @@
         }
         self.last_job = Some(job);
         self.failures += 1;
-        if self.failures < FAILURES {
+        if self.failures < FAILURE_THRESHOLD {
             return None;
         }
-        let pause_ms = (PAUSE_MS << self.pauses.min(8)).min(PAUSE_MAX_MS);
+        let pause_ms = (FIRST_PAUSE_MS << self.pauses.min(8)).min(MAX_PAUSE_MS);
         self.pauses += 1;
         self.until_ms = now + pause_ms;
         Some(pause_ms)
     }
 
-    pub(crate) const fn standing(&self, now: Millis) -> Standing {
+    pub(crate) const fn state(&self, now: Millis) -> QuarantineState {
         if self.pauses == 0 {
-            Standing::Sound
+            QuarantineState::Sound
         } else if now < self.until_ms {
-            Standing::Paused
+            QuarantineState::Paused
         } else {
-            Standing::Trial
+            QuarantineState::Trial
         }
     }
 }
--- a/crates/chervilfall_planner/src/policy/share.rs
+++ b/crates/chervilfall_planner/src/policy/share.rs
@@ -1,41 +1,42 @@
-//! An account's share of the jobs that are taken: what it hands in beyond that comes after all others' work.
+//! Rate share of an account, as a token bucket.
 //!
-//! An account that sends many times its usual would otherwise make all others wait. Its jobs beyond the share are still
-//! taken and use what is free, but are offered room last, and are refused once many of them wait.
+//! An account that submits many times its usual load would otherwise delay all others. Jobs in
+//! excess of its share are still accepted and may use free capacity, but are ranked behind all
+//! other work, and are refused once too many of them are open.
 
 use crate::ids::Millis;
 
-/// Time whose share an account may use at once.
+/// Burst size: an account may use the share of this time at once.
 const BURST_MS: f64 = 1_000.0;
-/// Time whose share of jobs beyond it may wait before more are refused.
+/// Backlog limit: as many jobs over the share may be open as the share allows in this time.
 const BACKLOG_MS: f64 = 2_000.0;
-/// Jobs beyond their share that may always wait.
-const LEAST_BACKLOG: f64 = 4.0;
-/// Shortest time to come back that is told.
-const LEAST_RETRY_MS: f64 = 500.0;
+/// Number of jobs over the share that may always be open.
+const MIN_BACKLOG: f64 = 4.0;
+/// Minimum retry time given to callers.
+const MIN_RETRY_MS: f64 = 500.0;
 
-/// What becomes of a job that an account hands in.
+/// Decision about a job that an account submits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum ShareAdmission {
     /// It is within the account's share.
-    Within,
-    /// It is taken, and comes after others.
-    Beyond,
+    WithinShare,
+    /// It is accepted but ranked behind other work.
+    OverShare,
     /// It is refused.
     Refused {
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_ms: Millis,
     },
 }
 
-/// What an account has left of its share.
+/// What remains of an account's share.
 #[derive(Debug, Clone)]
 pub(crate) struct Share {
-    /// Jobs a second; 0 for no bound.
+    /// Jobs per second; 0 for no limit.
     per_s: f64,
     left: f64,
     filled_ms: Millis,
-    /// Jobs beyond the share that have not ended.
+    /// Number of jobs over the share that have not ended.
     beyond: u32,
 }
 
@@ -57,41 +58,41 @@
         self.left = self.left.min(burst(per_s));
     }
 
-    /// Takes note of a job that is handed in.
-    pub(crate) fn take(&mut self, now: Millis) -> Standing {
+    /// Decides about a submitted job and deducts it from the share if it is within it.
+    pub(crate) fn take(&mut self, now: Millis) -> ShareAdmission {
         if self.per_s <= 0.0 {
-            return Standing::Within;
+            return ShareAdmission::WithinShare;
         }
         let passed_ms = now.saturating_sub(self.filled_ms) as f64;
         self.filled_ms = self.filled_ms.max(now);
         self.left = (self.left + passed_ms * self.per_s / 1_000.0).min(burst(self.per_s));
         if self.left >= 1.0 {
             self.left -= 1.0;
-            return Standing::Within;
+            return ShareAdmission::WithinShare;
         }
-        let most = (self.per_s * BACKLOG_MS / 1_000.0).max(LEAST_BACKLOG);
+        let most = (self.per_s * BACKLOG_MS / 1_000.0).max(MIN_BACKLOG);
         if f64::from(self.beyond) < most {
-            return Standing::Beyond;
+            return ShareAdmission::OverShare;
         }
         let until_next_ms = (1.0 - self.left) * 1_000.0 / self.per_s;
-        // A time to come back is a small positive number of milliseconds.
+        // A retry time is a small positive number of milliseconds.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-        let retry_ms = until_next_ms.max(LEAST_RETRY_MS) as Millis;
-        Standing::Refused { retry_ms }
+        let retry_ms = until_next_ms.max(MIN_RETRY_MS) as Millis;
+        ShareAdmission::Refused { retry_ms }
     }
 
-    /// Counts a job beyond the share that waits or is at work.
-    pub(crate) fn add_beyond(&mut self) {
+    /// Counts an accepted job over the share.
+    pub(crate) fn add_over_share_job(&mut self) {
         self.beyond += 1;
     }
 
-    /// Counts one that has ended.
-    pub(crate) fn end_beyond(&mut self) {
+    /// Removes an ended job over the share from the count.
+    pub(crate) fn end_over_share_job(&mut self) {
         self.beyond = self.beyond.saturating_sub(1);
     }
 }
 
-/// Returns the jobs that may be handed in at once.
+/// Returns the number of jobs that may be submitted at once.
 fn burst(per_s: f64) -> f64 {
     (per_s * BURST_MS / 1_000.0).max(1.0)
 }
--- a/crates/chervilfall_planner/src/policy/speed.rs
+++ b/crates/chervilfall_planner/src/policy/speed.rs
@@ -1,44 +1,45 @@
-//! How fast endpoints are, learned from tasks of one step that ran on several.
+//! Speed of endpoints, learned from steps whose tasks ran on several endpoints.
 //!
-//! Estimates are off by a factor of two, so that a run alone says little. But the tasks of a step do like work,
-//! and how long one took against the others says how fast its endpoint is. On a fleet whose endpoints differ by
-//! a quarter each way, short requests with an objective of 1.5 times their work were late on slow endpoints.
+//! Estimates are off by a factor of two, so the duration of a single run says little. The tasks of
+//! a step do similar work, however, so their relative durations show how fast their endpoints are.
+//! On a fleet whose endpoints differ in speed by up to a quarter from the usual, short requests
+//! with an objective of 1.5 times their work were late on slow endpoints.
 
 use slotmap::SlotMap;
 
 use crate::endpoint::{Endpoint, EndpointKey};
 use crate::ids::Millis;
 
-/// Least weight of a new sample: about the last ten count, so that a disturbance shows within some runs and
-/// is forgotten as soon.
+/// Minimum weight of a new sample. About the last ten samples count, so a disturbance shows within
+/// a few runs and is forgotten as quickly.
 const SAMPLE_WEIGHT: f64 = 0.15;
-/// Bounds of a sample, so that one odd run says no more than that.
+/// Bounds of a sample, which limit the effect of an outlier.
 const SAMPLE_MIN: f64 = 0.1;
 const SAMPLE_MAX: f64 = 2.0;
-/// Ratio of speeds that makes a difference of one in [`Pace`]: what ten samples of tasks that differ by a
-/// fifth can tell apart.
-const PACE_RATIO: f64 = 1.2;
-/// Pace from which on an endpoint is lagging: under 0.6 of the usual speed.
-const LAGGING: Pace = Pace(-3);
+/// Speed ratio between adjacent [`SpeedClass`]es: the difference that ten samples of tasks that
+/// vary by a fifth can resolve.
+const CLASS_RATIO: f64 = 1.2;
+/// Speed class from which downward an endpoint is lagging: under 0.6 of the usual speed.
+const LAGGING: SpeedClass = SpeedClass(-3);
 
-/// Speed in coarse steps; 0 is the usual one, higher is faster.
+/// Speed in coarse logarithmic steps; 0 is the usual speed, higher is faster.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Pace(pub(crate) i8);
+pub(crate) struct SpeedClass(pub(crate) i8);
 
-impl Pace {
-    /// Returns whether work is better off nearly anywhere else.
-    pub(crate) const fn lags(self) -> bool {
+impl SpeedClass {
+    /// Returns whether the endpoint is so slow that almost any other is preferable.
+    pub(crate) const fn is_lagging(self) -> bool {
         self.0 <= LAGGING.0
     }
 }
 
-/// What is known of an endpoint's speed; 1 is the usual one.
+/// Estimated speed of an endpoint; 1 is the usual speed.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Speed {
     relative: f64,
     samples: u32,
-    /// `relative` in coarse steps, which is asked for far more often than it changes.
-    pace: Pace,
+    /// Class of `relative`, cached because it is read far more often than it changes.
+    speed_class: SpeedClass,
 }
 
 impl Default for Speed {
@@ -46,7 +47,7 @@
         Self {
             relative: 1.0,
             samples: 0,
-            pace: Pace(0),
+            speed_class: SpeedClass(0),
         }
     }
 }
@@ -57,32 +58,35 @@
         let weight = (1.0 / f64::from(self.samples + 2)).max(SAMPLE_WEIGHT);
         self.relative += weight * (sample - self.relative);
         self.samples = self.samples.saturating_add(1);
-        let steps = (self.relative.ln() / PACE_RATIO.ln()).round();
-        // The bounds of samples keep it between -13 and 4.
+        let steps = (self.relative.ln() / CLASS_RATIO.ln()).round();
+        // The bounds of a sample keep it between -13 and 4.
         #[allow(clippy::cast_possible_truncation)]
         let steps = steps as i8;
-        self.pace = Pace(steps);
+        self.speed_class = SpeedClass(steps);
     }
 
-    /// Returns the speed in coarse steps.
-    pub(crate) const fn pace(self) -> Pace {
-        self.pace
+    /// Returns the speed class.
+    pub(crate) const fn speed_class(self) -> SpeedClass {
+        self.speed_class
     }
 }
 
-/// A run that is done: where, and how long it took.
+/// Duration of a completed run on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Took {
+pub(crate) struct DurationSample {
     pub(crate) endpoint: EndpointKey,
     pub(crate) ms: Millis,
 }
 
-/// Learns from the runs of a step that is complete.
-pub(crate) fn learn(runs: &[Took], endpoints: &mut SlotMap<EndpointKey, Endpoint>) {
+/// Updates the speeds of endpoints from the runs of a completed step.
+pub(crate) fn learn_speeds(
+    runs: &[DurationSample],
+    endpoints: &mut SlotMap<EndpointKey, Endpoint>,
+) {
     if runs.len() < 2 {
         return;
     }
-    let work = |run: &Took| {
+    let work = |run: &DurationSample| {
         let endpoint = endpoints.get(run.endpoint);
         let relative = endpoint.map_or(1.0, |endpoint| endpoint.speed.relative);
         run.ms.max(1) as f64 * relative
--- a/crates/chervilfall_planner/src/policy/switches.rs
+++ b/crates/chervilfall_planner/src/policy/switches.rs
@@ -1,14 +1,14 @@
-//! Which policies are in force, so that each can be switched off to see what it is worth.
+//! Switches for individual policies, so that the effect of each can be evaluated.
 
 use serde::Deserialize;
 
-/// Switches of policies; all are on by default.
+/// Switches for policies; all are on by default.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policies {
-    /// Patient work leaves room for hurried work.
+    /// Latency-tolerant work leaves headroom for latency-sensitive work.
     pub headroom: bool,
-    /// Work whose objective is short goes to fast endpoints, work that can wait to slow ones.
+    /// Latency-sensitive work goes to fast endpoints and latency-tolerant work to slow ones.
     pub speed: bool,
 }
 
--- a/crates/chervilfall_planner/src/record.rs
+++ b/crates/chervilfall_planner/src/record.rs
@@ -1,4 +1,4 @@
-//! Values of the rows that a planner keeps, as CBOR.
+//! Values of the rows that a planner stores, encoded as CBOR.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,14 +10,14 @@
 use crate::job::JobSpec;
 use crate::policy::crashes::Exposure;
 
-/// Table of accepted jobs, by name.
+/// Table of accepted jobs, by job.
 pub const JOBS: &str = "jobs";
-/// Table of the texts that their starts carry, by name. They are long, and a new holder needs them only once it starts
-/// tasks.
+/// Table of the texts that are passed with starts, by job. They are long, and a new holder needs
+/// them only once it starts tasks.
 pub const TEXTS: &str = "texts";
-/// Table of what became of open jobs, by name.
+/// Table of the progress of open jobs, by job.
 pub const PROGRESS: &str = "progress";
-/// Table of jobs that have ended, by name, kept for their callers' questions.
+/// Table of ended jobs, by job, kept so that callers can still ask for their state.
 pub const ENDED: &str = "ended";
 /// Table of the claim.
 pub const CLAIMS: &str = "claims";
@@ -26,14 +26,16 @@
 /// Table of endpoints that may hold leases, by bucket.
 pub const ROSTER: &str = "roster";
 
-/// Buckets of the roster. An entry takes 80 bytes, so that a row holds 800 of the 65,536 bytes that the
-/// store takes: enough for 50,000 endpoints, and one endpoint's change rewrites 3 KB of 2,500 endpoints.
+/// Number of roster buckets. An entry takes 80 bytes and the store accepts rows of 65,536 bytes, so
+/// a row holds 800 entries. That is enough for 50,000 endpoints; with 2,500 endpoints, a change of
+/// one endpoint rewrites 3 KB.
 const ROSTER_BUCKETS: u64 = 64;
-/// First value and factor of the FNV-1a hash, which is the same in all versions of this program.
+/// Offset basis and prime of the FNV-1a hash, which must be the same in all versions of the
+/// program.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A part of the roster that stands in one row.
+/// A part of the roster that is stored in one row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RosterBucket(u64);
 
@@ -52,24 +54,25 @@
     }
 }
 
-/// A row that cannot be read.
+/// Error for a row that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("row is not what this version writes: {0}")]
 pub struct RecordError(String);
 
-/// An accepted job, without the text that its starts carry. Rows of earlier versions hold the text too.
+/// An accepted job, without the text passed with its starts. Rows of earlier versions include the
+/// text.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobRow {
-    /// Queue as it was when the job was accepted; it outlives the queue's removal.
+    /// The queue's settings when the job was accepted; they outlive the removal of the queue.
     pub queue: Queue,
     /// The job.
     pub spec: JobSpec,
-    /// Time of day of acceptance, in milliseconds since 1970.
+    /// Wall-clock time of acceptance, in milliseconds since the Unix epoch.
     pub accepted_unix_ms: u64,
-    /// Client account that handed it in; none if none was needed.
+    /// Client account that submitted it; none if none was required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountName>,
-    /// It was handed in beyond the account's share.
+    /// It was submitted in excess of the account's share.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub beyond: bool,
 }
@@ -79,42 +82,43 @@
 pub struct StepRow {
     /// Occurrence.
     pub occurrence: u32,
-    /// Step.
+    /// Index of the step.
     pub step: u16,
     /// Indices of tasks that are done, as ranges `(first, count)`.
     pub done: Vec<(u32, u32)>,
-    /// Failed runs by task; of a gang they stand under index 0.
+    /// Failed runs by task; those of a gang are recorded under index 0.
     pub failed: Vec<(u32, Vec<Run>)>,
-    /// Runs by task that may have brought down their endpoints.
+    /// Runs by task that may have crashed their endpoints.
     #[serde(default)]
     pub(crate) exposures: Vec<(u32, Vec<Exposure>)>,
 }
 
-/// What became of a job.
+/// Progress of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressRow {
     /// The caller has cancelled it.
     pub cancelled: bool,
-    /// It was cancelled before it came: the row keeps it from running if it still does.
+    /// It was cancelled before it was submitted; the row keeps it from running if it is submitted
+    /// later.
     #[serde(default)]
     pub awaited: bool,
-    /// Set once nothing more can come.
+    /// Final state, once it has one.
     pub outcome: Option<JobState>,
     /// A task has started.
     pub started: bool,
-    /// Steps that something is known of.
+    /// Steps with recorded progress.
     pub steps: Vec<StepRow>,
-    /// Whose it is, in rows of jobs that have ended; none if no account was needed.
+    /// Owner, in rows of ended jobs; none if no account was required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<Owner>,
 }
 
-/// Whose a job is that has ended.
+/// Owner of an ended job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// Client account that handed it in.
+    /// Client account that submitted it.
     pub account: AccountName,
-    /// Queue that it was handed in to.
+    /// Queue to which it was submitted.
     pub queue: QueueName,
 }
 
@@ -123,13 +127,14 @@
 pub struct RosterEntry {
     /// Name.
     pub id: EndpointId,
-    /// When the incarnation that holds them was started; none in rows of earlier versions and where endpoints do not say.
+    /// When the incarnation that may hold the lease started; none in rows of earlier versions and
+    /// if endpoints do not report it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born_ms: Option<UnixMillis>,
     /// Address.
     pub address: String,
-    /// Set if the endpoint is silent: no lease reaches beyond this time by the store's clock, and none is
-    /// granted before a later roster without this.
+    /// Set if the endpoint is silent: no lease extends beyond this time by the store's clock, and
+    /// none is granted until a later roster without this is stored.
     #[serde(default)]
     pub lapses_store_ms: Option<Millis>,
 }
@@ -137,7 +142,7 @@
 /// Encodes a value.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(256);
-    // A Vec takes any number of bytes and the types above have no form that CBOR lacks.
+    // Writing to a Vec cannot fail, and CBOR can represent all of the types above.
     ciborium::into_writer(value, &mut bytes).expect("plain records have a CBOR form");
     bytes
 }
@@ -147,7 +152,7 @@
     ciborium::from_reader(bytes).map_err(|error| RecordError(error.to_string()))
 }
 
-/// Packs ascending indices into ranges.
+/// Packs ascending indices into ranges `(first, count)`.
 pub(crate) fn ranges(indices: impl Iterator<Item = u32>) -> Vec<(u32, u32)> {
     let mut ranges: Vec<(u32, u32)> = Vec::new();
     for index in indices {
@@ -160,7 +165,7 @@
 }
 
 impl JobRow {
-    /// Reads the value of a row.
+    /// Decodes a row.
     ///
     /// # Errors
     ///
@@ -170,17 +175,17 @@
     }
 }
 
-/// Reads the value of a row that holds a job's text.
+/// Decodes a row that holds a job's text.
 ///
 /// # Errors
 ///
-/// Returns an error if the value is no text.
+/// Returns an error if the value is not a text.
 pub fn decode_text(bytes: &[u8]) -> Result<String, RecordError> {
     decode(bytes)
 }
 
 impl ProgressRow {
-    /// Reads the value of a row.
+    /// Decodes a row.
     ///
     /// # Errors
     ///
@@ -191,11 +196,11 @@
 }
 
 impl RosterEntry {
-    /// Reads the value of a row of the roster.
+    /// Decodes a row of the roster.
     ///
     /// # Errors
     ///
-    /// Returns an error if the value is not a roster.
+    /// Returns an error if the value is not a list of roster entries.
     pub fn decode_all(bytes: &[u8]) -> Result<Vec<Self>, RecordError> {
         decode(bytes)
     }
--- a/crates/chervilfall_planner/src/room.rs
+++ b/crates/chervilfall_planner/src/resources.rs
@@ -1,14 +1,14 @@
-//! Room of endpoints, what tasks take of it, and what client accounts may take.
+//! Resources of endpoints, usage by tasks and quotas of client accounts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::endpoint::EndpointEntry;
 use crate::job::Step;
 
-/// Room of an endpoint, or what tasks take of it.
+/// Resources of an endpoint, or the amount that tasks use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
-    /// Processor, in thousandths of a core.
+pub struct Resources {
+    /// CPU, in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
@@ -16,7 +16,7 @@
     pub gpus: u64,
 }
 
-impl Room {
+impl Resources {
     pub(crate) fn of_entry(entry: &EndpointEntry) -> Self {
         Self {
             cpu_milli: entry.cpu_milli.into(),
@@ -25,17 +25,17 @@
         }
     }
 
-    /// Returns what a task of a step takes of its endpoint.
+    /// Returns the resources that a task of a step reserves on its endpoint.
     pub(crate) fn of_step(step: &Step) -> Self {
         Self {
             cpu_milli: if step.fills { 0 } else { step.cpu_milli.into() },
-            ..Self::charged(step)
+            ..Self::charged_to_account(step)
         }
     }
 
-    /// Returns what a task of a step is charged to its account: what it was asked to have, also where it takes only what
-    /// others leave.
-    pub(crate) fn charged(step: &Step) -> Self {
+    /// Returns the resources that a task of a step is charged for: all that it requests, even if it
+    /// reserves no CPU and only uses what others leave over.
+    pub(crate) fn charged_to_account(step: &Step) -> Self {
         Self {
             cpu_milli: step.cpu_milli.into(),
             memory_mb: step.memory_mb.into(),
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(crate) const fn holds(self, need: Self) -> bool {
+    pub(crate) const fn can_fit(self, need: Self) -> bool {
         self.cpu_milli >= need.cpu_milli
             && self.memory_mb >= need.memory_mb
             && self.gpus >= need.gpus
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns what `count` tasks take that take this each.
+    /// Returns the resources of `count` tasks that use this amount each.
     pub(crate) fn times(self, count: u32) -> Self {
         let count = u64::from(count);
         Self {
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns how many of `need` fit.
-    pub(crate) fn fits(self, need: Self) -> u32 {
+    /// Returns how many times `need` fits.
+    pub(crate) fn max_fitting(self, need: Self) -> u32 {
         let parts = [
             (self.cpu_milli, need.cpu_milli),
             (self.memory_mb, need.memory_mb),
@@ -89,14 +89,15 @@
             .unwrap_or(u32::MAX)
     }
 
-    /// Returns how many of `need` fit under this quota, in which 0 stands for no limit, beside what is used.
-    pub(crate) fn fits_beside(self, used: Self, need: Self) -> u32 {
+    /// Returns how many times `need` fits under this quota in addition to `used`. In a quota, 0
+    /// means no limit.
+    pub(crate) fn max_fitting_in_quota(self, used: Self, need: Self) -> u32 {
         let limited = |most: u64, need: u64| if most == 0 { 0 } else { need };
         let need = Self {
             cpu_milli: limited(self.cpu_milli, need.cpu_milli),
             memory_mb: limited(self.memory_mb, need.memory_mb),
             gpus: limited(self.gpus, need.gpus),
         };
-        self.minus(used).fits(need)
+        self.minus(used).max_fitting(need)
     }
 }
--- a/crates/chervilfall_planner/src/starts.rs
+++ b/crates/chervilfall_planner/src/starts.rs
@@ -1,8 +1,9 @@
-//! The latest starts, as a ring of rows: what a successor could not know otherwise.
+//! Ring of rows with the latest starts, which lets a successor learn what a lost holder started.
 //!
-//! Starts are not written ahead, so that they need not wait for the store. Should a holder be lost together with an
-//! endpoint, nobody would know what had begun there, and a task that brings endpoints down would be started anew as if
-//! it had never run. So each commit carries the starts since the one before, in one small row.
+//! Starts are sent without waiting for the store. If a holder were lost together with an endpoint,
+//! the runs started there would be unknown, and a task that crashes endpoints would be started
+//! again as if it had never run. Each commit therefore includes one small row with the starts since
+//! the previous commit.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,12 +13,14 @@
 /// Table of the latest starts, by slot.
 pub const STARTS: &str = "starts";
 
-/// Rows of the ring: with one commit each 20 ms they reach back 5 s, longer than a lost endpoint goes unnoticed.
+/// Rows of the ring. With one commit every 20 ms they cover 5 s, which is longer than it takes to
+/// notice a lost endpoint.
 const SLOTS: u64 = 256;
-/// Starts of a row: 75 bytes each, less than half of what a row holds.
+/// Maximum starts in a row. They take 75 bytes each, which is less than half of the row size limit.
 const ROW_STARTS: usize = 400;
-/// How far the ring is read back from the last commit: a lapse, which takes 2.8 s, and a commit. What is older was heard
-/// at work since, or is noted with its job; where a lapse takes longer, it is noted once the endpoint is silent.
+/// How far before the last commit the ring is read: the time in which a lease lapses, which is
+/// 2.8 s, and a commit. Older runs have since been reported by their endpoint or recorded with
+/// their job. If a lapse takes longer, the runs are recorded once the endpoint is silent.
 pub(crate) const READ_BACK_MS: Millis = 3_500;
 
 /// A run that was started.
@@ -30,18 +33,18 @@
     index: u32,
     pub(crate) run: Run,
     pub(crate) endpoint: EndpointId,
-    /// When the incarnation was started for which it was meant.
+    /// When the incarnation for which the run was meant started.
     pub(crate) born_ms: Option<UnixMillis>,
 }
 
-/// Forms of a note in rows. Hundreds of starts a second are noted, and a new holder reads them all before it serves
-/// anybody, so that names of fields would cost callers more than they tell.
+/// Encodings of a start in rows. Hundreds of starts per second are recorded, and a new holder reads
+/// them all before it serves requests, so field names are omitted to keep the rows small.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum StartNoteForm {
-    /// Job, occurrence, step, index, run, endpoint and when that was started.
+    /// Job, occurrence, step, index, run, endpoint and when the endpoint's incarnation started.
     Short(JobId, u32, u16, u32, Run, EndpointId, Option<UnixMillis>),
-    /// As earlier versions write it.
+    /// Encoding written by earlier versions.
     Named {
         job: JobId,
         occurrence: u32,
@@ -103,36 +106,36 @@
     }
 }
 
-/// Starts of one commit.
+/// Starts recorded by one commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartsRow {
-    /// The store's steady clock when the row was written, as the writer knew it.
+    /// The store's monotonic clock when the row was written, as estimated by the writer.
     pub(crate) written_store_ms: Millis,
     pub(crate) starts: Vec<StartNote>,
 }
 
 impl StartsRow {
-    /// Reads the value of a row.
+    /// Decodes a row.
     ///
     /// # Errors
     ///
-    /// Returns an error if the value is no list of starts.
+    /// Returns an error if the value is not a list of starts.
     pub fn decode(bytes: &[u8]) -> Result<Self, RecordError> {
         decode(bytes)
     }
 }
 
-/// The holder's end of the ring.
+/// The holder's write position in the ring, and the starts that are not stored yet.
 #[derive(Debug, Default)]
 pub(crate) struct StartRing {
     next_slot: u64,
     unsaved: Vec<StartNote>,
-    /// In rows that are on their way.
+    /// Starts in rows that are in flight.
     in_flight: Vec<StartNote>,
 }
 
 impl StartRing {
-    /// Goes on after the newest row of earlier holders, so that the oldest are overwritten first.
+    /// Continues after the newest row of earlier holders, so the oldest rows are overwritten first.
     pub(crate) fn after(rows: &[(u64, StartsRow)]) -> Self {
         let newest = rows.iter().max_by_key(|(_, row)| row.written_store_ms);
         Self {
@@ -159,12 +162,12 @@
         });
     }
 
-    /// Notes that all rows which were taken are stored.
+    /// Records that all rows taken so far are stored.
     pub(crate) fn stored(&mut self) {
         self.in_flight.clear();
     }
 
-    /// Returns the starts that may not be stored.
+    /// Returns the starts that may not be stored yet.
     pub(crate) fn unstored(&self) -> Vec<StartNote> {
         let starts = self.in_flight.iter().chain(&self.unsaved);
         starts.cloned().collect()
@@ -174,7 +177,7 @@
         self.unsaved.is_empty()
     }
 
-    /// Returns the next row to write, if there is something to tell.
+    /// Returns the next row to write, or none if there are no unsaved starts.
     pub(crate) fn take_row(&mut self, written_store_ms: Millis) -> Option<(String, Vec<u8>)> {
         if self.unsaved.is_empty() {
             return None;
@@ -192,7 +195,7 @@
     }
 }
 
-/// Returns the latest starts, as of the last commit of earlier holders.
+/// Returns the starts in rows written shortly before the last commit of earlier holders.
 pub(crate) fn latest(rows: Vec<(u64, StartsRow)>, last_commit_store_ms: Millis) -> Vec<StartNote> {
     let newest_ms = rows.iter().map(|(_, row)| row.written_store_ms).max();
     let until_ms = newest_ms.unwrap_or(0).max(last_commit_store_ms);
--- a/crates/chervilfall_planner/src/tasks.rs
+++ b/crates/chervilfall_planner/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Jobs at work: tasks, steps, occurrences.
+//! State of open jobs: their occurrences, steps and tasks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,20 +12,21 @@
 use crate::job::{JobSpec, Step};
 use crate::planner::AccountKey;
 use crate::policy::crashes::Exposure;
-use crate::policy::speed::Took;
+use crate::policy::speed::DurationSample;
 use crate::record::{ranges, JobRow, ProgressRow, StepRow};
 
-/// Runs that a holder can start of one task before the next holder's numbers begin.
+/// Number of runs of one task that a holder can start before it reaches the run numbers of the next
+/// term.
 pub(crate) const RUNS_PER_TERM: u64 = 10_000;
 
-/// Where a task is.
+/// State of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// It waits for a place.
+    /// It waits to be placed.
     Waiting,
-    /// A run of it may be at work.
+    /// A run of it may be in progress on the endpoint.
     Placed(EndpointKey, Run),
-    /// It is done.
+    /// It has completed.
     Done,
 }
 
@@ -36,7 +37,7 @@
     pub(crate) last_run: Run,
     pub(crate) checkpoint: String,
     pub(crate) failed: Vec<Run>,
-    /// Runs that may have brought down their endpoints.
+    /// Runs that may have crashed their endpoints.
     pub(crate) exposures: Vec<Exposure>,
 }
 
@@ -47,14 +48,14 @@
     pub(crate) done: u32,
     pub(crate) placed: u32,
     pub(crate) advice: Advice,
-    /// The members of the gang's run are being withdrawn.
+    /// All members of the gang's run are being withdrawn.
     pub(crate) aborting: bool,
-    /// Endpoints on which a run of the step has failed; others are tried first.
+    /// Endpoints on which a run of the step has failed; others are preferred.
     pub(crate) failed_on: Vec<EndpointKey>,
-    /// Runs that are done and began at the beginning.
-    pub(crate) took: Vec<Took>,
-    /// Since when it looks for endpoints where nothing has just begun.
-    pub(crate) apart_since_ms: Option<Millis>,
+    /// Durations of completed runs that did not resume from a checkpoint.
+    pub(crate) durations: Vec<DurationSample>,
+    /// Since when it has been looking for endpoints for exclusive runs.
+    pub(crate) exclusive_since_ms: Option<Millis>,
 }
 
 impl StepProgress {
@@ -73,8 +74,8 @@
             advice: Advice::default(),
             aborting: false,
             failed_on: Vec::new(),
-            took: Vec::new(),
-            apart_since_ms: None,
+            durations: Vec::new(),
+            exclusive_since_ms: None,
         }
     }
 
@@ -87,12 +88,12 @@
     }
 }
 
-/// Which rows of a job the store has.
+/// Which rows of a job exist in the store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct JobRows {
-    /// The job itself and its text.
+    /// The rows of the job itself and of its text.
     pub(crate) open: bool,
-    /// What became of it so far.
+    /// The row of its progress.
     pub(crate) progress: bool,
 }
 
@@ -101,44 +102,44 @@
 pub(crate) struct Job {
     pub(crate) id: JobId,
     pub(crate) queue: Queue,
-    /// Client account that handed it in, if one was needed.
+    /// Client account that submitted it, if one was required.
     pub(crate) account: Option<AccountKey>,
-    /// It was handed in beyond the account's share.
+    /// It was submitted in excess of the account's share.
     pub(crate) beyond: bool,
     pub(crate) spec: Arc<JobSpec>,
     /// Longest chain of estimated work.
     pub(crate) chain_ms: Millis,
-    /// Time from its submission in which it should complete.
+    /// Time after its submission within which it should complete.
     pub(crate) objective_ms: Millis,
     /// Some of its tasks run until it is cancelled.
-    pub(crate) lasts: bool,
-    /// What its starts carry; none while an inherited job's text has not been read.
+    pub(crate) long_running: bool,
+    /// Text passed with its starts; none while the text of an inherited job has not been read.
     pub(crate) text: Option<Arc<str>>,
-    /// Rows of it that the store has, or has on their way.
+    /// Its rows that are stored or in flight to the store.
     pub(crate) rows: JobRows,
     pub(crate) accepted_ms: Millis,
     pub(crate) accepted_unix_ms: u64,
-    /// When its submission is refused if no commit with it has begun.
+    /// When its submission is refused if no commit has included it by then.
     pub(crate) refuse_at_ms: Millis,
     /// The job's row is stored.
     pub(crate) stored: bool,
-    /// It was read from rows: an earlier holder may have started tasks of it.
+    /// It was read from rows, so an earlier holder may have started tasks of it.
     pub(crate) inherited: bool,
     pub(crate) cancelled: bool,
-    /// It was cancelled before it came, and has not come yet.
-    pub(crate) awaited: bool,
-    /// A task of it has surely begun.
+    /// It was cancelled before its submission and has not been submitted yet.
+    pub(crate) pre_cancelled: bool,
+    /// A task of it is known to have started.
     pub(crate) started: bool,
     pub(crate) outcome: Option<JobState>,
-    /// Outcome that is stored and may be shown.
-    pub(crate) shown: Option<JobState>,
+    /// Outcome that is stored and therefore visible to callers.
+    pub(crate) visible_outcome: Option<JobState>,
     pub(crate) cancel_stored: bool,
     pub(crate) finished_ms: Option<Millis>,
     pub(crate) occurrences: BTreeMap<u32, Vec<StepProgress>>,
     pub(crate) complete_occurrences: u32,
-    /// Callers to be told once the job is stored.
+    /// Callers to answer once the job is stored.
     pub(crate) submitters: Vec<ReplyTo>,
-    /// Callers to be told once the cancel is stored.
+    /// Callers to answer once the cancellation is stored.
     pub(crate) cancellers: Vec<ReplyTo>,
 }
 
@@ -149,7 +150,7 @@
             id,
             chain_ms: row.spec.chain_ms(),
             objective_ms: row.spec.objective_ms(&row.queue),
-            lasts: row.spec.steps.iter().any(|step| step.long_running),
+            long_running: row.spec.steps.iter().any(|step| step.long_running),
             queue: row.queue,
             account: None,
             beyond: row.beyond,
@@ -162,10 +163,10 @@
             stored: false,
             inherited: false,
             cancelled: false,
-            awaited: false,
+            pre_cancelled: false,
             started: false,
             outcome: None,
-            shown: None,
+            visible_outcome: None,
             cancel_stored: false,
             finished_ms: None,
             occurrences: BTreeMap::new(),
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Takes over the queue's settings of a configuration, unless the job has those of a newer one.
+    /// Adopts the queue's settings unless the job already has those of a newer configuration.
     pub(crate) fn set_queue(&mut self, queue: &Queue) {
         if queue.configuration < self.queue.configuration {
             return;
@@ -184,7 +185,7 @@
         self.objective_ms = self.spec.objective_ms(queue);
     }
 
-    /// Returns the row that holds the job but for its text.
+    /// Returns the row that holds the job without its text.
     pub(crate) fn row(&self, account: Option<AccountName>) -> JobRow {
         JobRow {
             queue: self.queue.clone(),
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Returns the steps of an occurrence, which exist from now on.
+    /// Returns the steps of an occurrence, creating them if necessary.
     pub(crate) fn occurrence(&mut self, occurrence: u32) -> &mut Vec<StepProgress> {
         let steps = &self.spec.steps;
         self.occurrences
@@ -221,7 +222,7 @@
             .get(key.index as usize)
     }
 
-    /// Returns the tasks of all occurrences that exist.
+    /// Returns the tasks of all existing occurrences.
     pub(crate) fn tasks_mut(&mut self) -> impl Iterator<Item = (TaskKey, &mut Task)> {
         let id = self.id;
         let steps = self
@@ -241,10 +242,11 @@
         })
     }
 
-    /// Returns the state that callers may see: what the store holds.
+    /// Returns the state visible to callers, which only reflects outcomes and cancellations that
+    /// are stored.
     pub(crate) fn state(&self) -> JobState {
-        if let Some(shown) = self.shown {
-            return shown;
+        if let Some(outcome) = self.visible_outcome {
+            return outcome;
         }
         if self.cancel_stored {
             return JobState::Cancelled;
@@ -266,7 +268,7 @@
         });
         ProgressRow {
             cancelled: self.cancelled,
-            awaited: self.awaited,
+            awaited: self.pre_cancelled,
             outcome: self.outcome,
             started: self.started,
             steps: steps.collect(),
@@ -274,13 +276,13 @@
         }
     }
 
-    /// Takes in a stored progress row.
+    /// Restores the progress from a stored row.
     pub(crate) fn restore(&mut self, row: &ProgressRow) {
         self.cancelled = row.cancelled;
         self.cancel_stored = row.cancelled;
-        self.awaited = row.awaited;
+        self.pre_cancelled = row.awaited;
         self.outcome = row.outcome;
-        self.shown = row.outcome;
+        self.visible_outcome = row.outcome;
         self.started = row.started;
         for step in &row.steps {
             self.restore_step(step);
@@ -336,11 +338,11 @@
         failed: failed.collect(),
         exposures: exposures.collect(),
     };
-    let told = !row.done.is_empty() || !row.failed.is_empty() || !row.exposures.is_empty();
-    told.then_some(row)
+    let has_progress = !row.done.is_empty() || !row.failed.is_empty() || !row.exposures.is_empty();
+    has_progress.then_some(row)
 }
 
-/// Names a step in one occurrence of a job.
+/// Identifies a step in one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct StepKey {
     pub(crate) job: JobId,
