--- a/crates/chervilfall_planner/src/metrics.rs
+++ b/crates/chervilfall_planner/src/metrics.rs
@@ -113,8 +113,8 @@
 }
 
 /// Records how long callers were without service at a takeover, by the event that ended the gap.
-pub(crate) fn resumed(seen: &'static str, gap_ms: Millis) {
-    histogram!("chervilfall_takeover_seconds", "until" => seen).record(seconds(gap_ms));
+pub(crate) fn resumed(milestone: &'static str, gap_ms: Millis) {
+    histogram!("chervilfall_takeover_seconds", "until" => milestone).record(seconds(gap_ms));
 }
 
 /// Counts a takeover.
--- a/crates/chervilfall_planner/src/policy/share.rs
+++ b/crates/chervilfall_planner/src/policy/share.rs
@@ -34,28 +34,28 @@
 pub(crate) struct Share {
     /// Jobs per second; 0 for no limit.
     per_s: f64,
-    left: f64,
+    tokens: f64,
     filled_ms: Millis,
     /// Number of jobs over the share that have not ended.
-    beyond: u32,
+    over_share_jobs: u32,
 }
 
 impl Share {
     pub(crate) fn new(per_s: f64, now: Millis) -> Self {
         Self {
             per_s,
-            left: burst(per_s),
+            tokens: burst(per_s),
             filled_ms: now,
-            beyond: 0,
+            over_share_jobs: 0,
         }
     }
 
     pub(crate) fn set_per_s(&mut self, per_s: f64) {
         if self.per_s <= 0.0 {
-            self.left = burst(per_s);
+            self.tokens = burst(per_s);
         }
         self.per_s = per_s;
-        self.left = self.left.min(burst(per_s));
+        self.tokens = self.tokens.min(burst(per_s));
     }
 
     /// Decides about a submitted job and deducts it from the share if it is within it.
@@ -65,16 +65,16 @@
         }
         let passed_ms = now.saturating_sub(self.filled_ms) as f64;
         self.filled_ms = self.filled_ms.max(now);
-        self.left = (self.left + passed_ms * self.per_s / 1_000.0).min(burst(self.per_s));
-        if self.left >= 1.0 {
-            self.left -= 1.0;
+        self.tokens = (self.tokens + passed_ms * self.per_s / 1_000.0).min(burst(self.per_s));
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return ShareAdmission::WithinShare;
         }
-        let most = (self.per_s * BACKLOG_MS / 1_000.0).max(MIN_BACKLOG);
-        if f64::from(self.beyond) < most {
+        let max_over_share = (self.per_s * BACKLOG_MS / 1_000.0).max(MIN_BACKLOG);
+        if f64::from(self.over_share_jobs) < max_over_share {
             return ShareAdmission::OverShare;
         }
-        let until_next_ms = (1.0 - self.left) * 1_000.0 / self.per_s;
+        let until_next_ms = (1.0 - self.tokens) * 1_000.0 / self.per_s;
         // A retry time is a small positive number of milliseconds.
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
         let retry_ms = until_next_ms.max(MIN_RETRY_MS) as Millis;
@@ -83,12 +83,12 @@
 
     /// Counts an accepted job over the share.
     pub(crate) fn add_over_share_job(&mut self) {
-        self.beyond += 1;
+        self.over_share_jobs += 1;
     }
 
     /// Removes an ended job over the share from the count.
     pub(crate) fn end_over_share_job(&mut self) {
-        self.beyond = self.beyond.saturating_sub(1);
+        self.over_share_jobs = self.over_share_jobs.saturating_sub(1);
     }
 }
 
--- a/crates/chervilfall_planner/src/resources.rs
+++ b/crates/chervilfall_planner/src/resources.rs
@@ -92,7 +92,7 @@
     /// Returns how many times `need` fits under this quota in addition to `used`. In a quota, 0
     /// means no limit.
     pub(crate) fn max_fitting_in_quota(self, used: Self, need: Self) -> u32 {
-        let limited = |most: u64, need: u64| if most == 0 { 0 } else { need };
+        let limited = |limit: u64, need: u64| if limit == 0 { 0 } else { need };
         let need = Self {
             cpu_milli: limited(self.cpu_milli, need.cpu_milli),
             memory_mb: limited(self.memory_mb, need.memory_mb),
