--- a/crates/chervilfall_planner/src/lib.rs
+++ b/crates/chervilfall_planner/src/lib.rs
@@ -1,8 +1,8 @@
-//! Pure decision core of one group of endpoints.
+//! Scheduling logic for one group of endpoints, without I/O.
 //!
-//! One planner at a time holds a group. It accepts jobs, places their tasks on endpoints and keeps
-//! what must last in rows of the platform's store. It does no I/O: each event and the time go in,
-//! actions come out, so that tests drive it in virtual time.
+//! At any time one planner holds a group. It accepts jobs, places their tasks on endpoints and
+//! persists its state in rows of the platform's store. It performs no I/O itself: it receives
+//! events with the current time and returns actions, so tests can run it in virtual time.
 
 mod account;
 mod action;
--- a/crates/chervilfall_planner/src/placed_run.rs
+++ b/crates/chervilfall_planner/src/placed_run.rs
@@ -1,62 +1,64 @@
-//! Runs in the books of an endpoint.
+//! Runs that the planner tracks on an endpoint.
 
 use crate::ids::{Millis, Run};
 use crate::planner::AccountKey;
 use crate::resources::Resources;
 
-/// How far a run on an endpoint has come.
+/// Phase of a run on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunPhase {
-    /// It has its place; the start is sent once the store has a note of it.
+    /// It is placed; the start is sent once a record of it is stored.
     Announced,
-    /// The start was sent and not answered yet.
+    /// The start was sent and is not answered yet.
     Starting,
-    /// The endpoint has it.
+    /// The endpoint has accepted or listed it.
     Running,
-    /// A stop is due or on its way.
+    /// A stop is due or in flight.
     Stopping {
         /// When the last stop was sent.
         sent_ms: Option<Millis>,
-        /// When the endpoint took a stop; a list asked for later is the truth.
+        /// When the endpoint accepted a stop; lists requested later are authoritative.
         taken_ms: Option<Millis>,
     },
 }
 
-/// A run that may be on an endpoint; its room is taken until its end is known.
+/// A run that may be on an endpoint; its resources count as used until its end is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PlacedRun {
     pub(crate) run: Run,
     pub(crate) phase: RunPhase,
     pub(crate) resources: Resources,
-    /// What it counts for, and against which account.
+    /// The account whose usage includes the run, and how much it is charged.
     pub(crate) charge: Option<(AccountKey, Resources)>,
-    /// What it takes is not known, because its job's row is gone: nothing is started beside it.
+    /// Its resource usage is unknown because its job's row is gone, so nothing else is started on
+    /// the endpoint.
     pub(crate) size_unknown: bool,
-    /// Copies of the start that were not answered; each may be carried out until its bound.
+    /// Number of unanswered copies of the start; each may be carried out until its deadline.
     pub(crate) unanswered: u32,
-    /// It was meant for the incarnation before, and this one has not shown it yet.
+    /// It was started on the previous incarnation, and this one has not listed it yet.
     pub(crate) unseen: bool,
-    /// When the start was answered, or the run was first listed; lists asked for later must show it.
+    /// When the start was answered or the run was first listed; lists requested later must include
+    /// it.
     pub(crate) confirmed_ms: Option<Millis>,
-    /// It resumed from a checkpoint, so that its time says little of the task's work.
+    /// It resumed from a checkpoint, so its duration says little about the task's total work.
     pub(crate) resumed: bool,
-    /// Its job's objective is short.
+    /// Its job is latency-sensitive.
     pub(crate) latency_sensitive: bool,
-    /// It may bring the endpoint down: nothing is started beside it.
+    /// It may crash the endpoint, so nothing else is started there.
     pub(crate) exclusive: bool,
 }
 
-/// How an endpoint was lost.
+/// Why an endpoint counts as lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LossReason {
-    /// It stayed silent until its leases had lapsed: it has crashed, left, or is cut off.
+    /// It was silent until its leases had lapsed: it has crashed, left or been disconnected.
     Silent,
     /// Another incarnation answers at its address.
     Replaced,
 }
 
 impl LossReason {
-    /// Returns a word for logs and metrics.
+    /// Returns the label used in logs and metrics.
     pub(crate) const fn label(self) -> &'static str {
         match self {
             Self::Silent => "silent",
--- a/crates/chervilfall_planner/src/planner/endpoints.rs
+++ b/crates/chervilfall_planner/src/planner/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the list, and what their reports say.
+//! The list of endpoints, and the handling of their reports.
 
 use std::collections::BTreeSet;
 
@@ -13,11 +13,12 @@
 use crate::resources::Resources;
 use crate::tasks::TaskState;
 
-/// Step of a sequence that fills a span evenly however many terms are taken: the golden ratio's part of it.
+/// Step of a low-discrepancy sequence, which covers a range evenly with any number of terms: the
+/// fractional part of the golden ratio.
 const SPREAD_STEP_PERMILLE: u64 = 618;
 
 impl Planner {
-    /// Adds an endpoint that an earlier holder may have given work.
+    /// Adds an endpoint on which an earlier holder may have started runs.
     pub(super) fn add_rostered(&mut self, entry: RosterEntry) {
         let lapses_store_ms = entry.lapses_store_ms;
         let entry = EndpointEntry {
@@ -57,7 +58,7 @@
         let mut listed: BTreeSet<EndpointId> = BTreeSet::new();
         for entry in entries {
             if self.lacks_reported_start_time(&entry) {
-                log::warn!(endpoint:% = entry.id; "entry does not say when its endpoint was started, as the endpoint does");
+                log::warn!(endpoint:% = entry.id; "ignoring endpoint entry without the start time that the endpoint reports");
                 continue;
             }
             listed.insert(entry.id.clone());
@@ -77,7 +78,8 @@
         self.drop_endpoints();
     }
 
-    /// Returns whether an entry lacks a member that its endpoint has in all that it says: another writer's.
+    /// Returns whether an entry lacks the start time that its endpoint reports: another writer
+    /// wrote it.
     fn lacks_reported_start_time(&self, entry: &EndpointEntry) -> bool {
         let key = self.endpoint_keys.get(&entry.id);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
@@ -107,12 +109,12 @@
             log::info!(endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(); "endpoint is draining");
         }
         if endpoint.entry.born_ms != known_ms && !endpoint.entry_is_of_incarnation() {
-            // Only its own lists tell which incarnation is there.
+            // Only the endpoint's own lists show which incarnation is running.
             endpoint.next_hold_ms = self.now;
         }
     }
 
-    /// Drops endpoints that are gone and can run nothing any more.
+    /// Removes endpoints that left the list, are defunct and have no recorded runs.
     fn drop_endpoints(&mut self) {
         let gone = self.endpoints.iter().filter(|(_, endpoint)| {
             !endpoint.listed && endpoint.defunct && endpoint.placed.is_empty()
@@ -146,7 +148,8 @@
         };
         endpoint.hold_sent_ms = None;
         match answer {
-            // Which runs the next incarnation has been told to start must be known whole.
+            // A partial list does not suffice: all runs that the next incarnation was ordered to
+            // start must be known.
             HoldAnswer::Report(report)
                 if endpoint.is_other_incarnation(report.born_ms) && !report.partial =>
             {
@@ -156,7 +159,8 @@
                 self.record_report(key, sent_ms, &report);
             }
             HoldAnswer::Fenced => self.step_down(StepDownReason::Fenced),
-            // Holds go to the address of the entry; that of another incarnation says nothing of this one.
+            // A hold is sent to the address in the entry. If that is the address of another
+            // incarnation, its answer says nothing about this one.
             HoldAnswer::OtherIncarnation if endpoint.entry_is_of_incarnation() => {
                 self.give_up_replaced_endpoint(key);
             }
@@ -206,10 +210,10 @@
         }
     }
 
-    /// Takes in the ends and runs that an endpoint lists.
+    /// Records the ends and runs that an endpoint lists.
     pub(super) fn record_lists(&mut self, key: EndpointKey, report: &HoldReport) {
         let now = self.now;
-        let max_idle_hold_interval_ms =
+        let idle_interval_ms =
             self.spread_evenly(self.limits.idle_hold_interval_ms(self.endpoints.len()));
         let known = self.endpoints[key].last_end_received;
         for end in report.ended.iter().filter(|end| end.number > known) {
@@ -224,7 +228,7 @@
             self.unsaved.record_ends(key, newest);
         }
         let pending = endpoint.last_end_received > endpoint.acknowledged;
-        // The next hold follows the commit that stores the ends, or renews the lease meanwhile.
+        // The next hold follows the commit that stores the ends, or renews the lease before it.
         endpoint.next_hold_ms = if pending {
             now + self.limits.hold_retry_ms
         } else {
@@ -237,18 +241,18 @@
         let endpoint = &mut self.endpoints[key];
         endpoint.idle = endpoint.placed.is_empty() && !pending;
         if endpoint.idle {
-            endpoint.next_hold_ms += max_idle_hold_interval_ms;
+            endpoint.next_hold_ms += idle_interval_ms;
         }
     }
 
-    /// Returns up to this time and half of it more or less, evenly spread over those that ask: endpoints that were heard
-    /// together must not be held together for ever.
+    /// Returns a time between 50% and 150% of the given one, evenly distributed over the calls, so
+    /// that endpoints that answered at the same time are not held at the same time indefinitely.
     fn spread_evenly(&mut self, time_ms: Millis) -> Millis {
         self.idle_jitter_permille = (self.idle_jitter_permille + SPREAD_STEP_PERMILLE) % 1_000;
         time_ms / 2 + time_ms * self.idle_jitter_permille / 1_000
     }
 
-    /// Takes in a run that an endpoint lists as at work.
+    /// Records a run that an endpoint lists as running.
     fn record_running(&mut self, key: EndpointKey, running: &RunningRun) {
         let task = running.task;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
@@ -266,19 +270,19 @@
                 self.update_exposure_age(key, task);
                 return;
             }
-            // The lists order runs of a task on one endpoint; an older one is on its way out.
+            // The lists order the runs of a task on one endpoint; an older one is about to end.
             return;
         }
         self.adopt_or_stop(key, running);
     }
 
-    /// Takes over a run that an earlier holder started, or stops it if it is not wanted.
+    /// Adopts a run that an earlier holder started, or stops it if it is not needed.
     fn adopt_or_stop(&mut self, key: EndpointKey, running: &RunningRun) {
         let task = running.task;
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task)).map(|task| task.state);
         let superseded = match state {
-            // An earlier holder started the later run only once it knew that the other one was over.
+            // An earlier holder started the later run only after it knew that the other had ended.
             Some(TaskState::Placed(other, run)) if run < running.run => Some((other, run)),
             _ => None,
         };
@@ -308,7 +312,7 @@
                 exclusive: false,
             },
         );
-        log::info!(task:% = task, run = running.run, endpoint:% = id, wanted = wanted; "found a run at work");
+        log::info!(task:% = task, run = running.run, endpoint:% = id, wanted = wanted; "found an unrecorded run on an endpoint");
         if wanted {
             if let Some((other, run)) = superseded {
                 self.clear_placement(task);
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Takes a task off its place, because a later run of it was found elsewhere.
+    /// Clears the placement of a task, because a later run of it was found elsewhere.
     fn clear_placement(&mut self, task: TaskKey) {
         let job = self.jobs.get_mut(&task.job);
         let progress = job.and_then(|job| job.step_progress_mut(task.step_key()));
@@ -344,12 +348,12 @@
             return;
         };
         progress.placed += 1;
-        let full = progress.waiting() == 0;
+        let all_placed = progress.waiting() == 0;
         if let Some(entry) = progress.tasks.get_mut(task.index as usize) {
             entry.state = TaskState::Placed(endpoint, run);
             entry.last_run = entry.last_run.max(run);
         }
-        if full {
+        if all_placed {
             self.close_step(key);
         }
     }
@@ -368,7 +372,7 @@
         }
     }
 
-    /// Settles runs that a list lacks although it was asked for after the run was known there.
+    /// Requeues runs missing from a list that was requested after the run was confirmed there.
     fn settle_missing_runs(&mut self, key: EndpointKey, sent_ms: Millis, report: &HoldReport) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
@@ -394,7 +398,7 @@
             log::info!(
                 task:% = task, run = run, endpoint:% = endpoint.entry.id, born_ms:? = endpoint.born_ms,
                 taken_in = endpoint.last_end_received;
-                "run is not there"
+                "run is missing from the list of its endpoint"
             );
             metrics::run_missing();
             self.release_run(key, task);
@@ -408,14 +412,14 @@
         };
         endpoint.next_hold_ms = self.now + self.limits.hold_retry_ms;
         if !endpoint.defunct {
-            log::warn!(endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(); "another incarnation is at the address");
+            log::warn!(endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(); "another incarnation answers at the address of the endpoint");
         }
         endpoint.contacted = true;
         self.give_up_endpoint(key, LossReason::Replaced);
         self.remove_from_barrier(key);
     }
 
-    /// Gives up what was on an endpoint.
+    /// Marks an endpoint as defunct and gives up its runs.
     pub(super) fn give_up_endpoint(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -425,7 +429,7 @@
         self.requeue_lost_runs(key, reason);
     }
 
-    /// Gives the tasks of lost runs back to the queue.
+    /// Requeues the tasks of lost runs.
     pub(super) fn requeue_lost_runs(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
@@ -441,7 +445,7 @@
         }
     }
 
-    /// Takes a run off an endpoint's books.
+    /// Removes the record of a run from its endpoint and its account.
     pub(super) fn release_run(&mut self, key: EndpointKey, task: TaskKey) {
         self.stopping.remove(key, task);
         self.schedule_due = true;
@@ -451,8 +455,9 @@
     }
 }
 
-/// Writes a line for each run that is lost with its endpoint: whether the endpoint ever answered about it, and for how
-/// long it was heard from since, tell a run that may have brought it down from those that were there before.
+/// Logs each run that is lost with its endpoint. Whether the endpoint ever answered about the run,
+/// and for how long it was in contact afterwards, distinguish a run that may have crashed it from
+/// those that were there before.
 fn log_lost_runs(endpoint: &Endpoint, reason: LossReason, now: Millis) {
     for (task, placed) in &endpoint.placed {
         log::info!(
--- a/crates/chervilfall_planner/src/planner/orders.rs
+++ b/crates/chervilfall_planner/src/planner/orders.rs
@@ -1,4 +1,4 @@
-//! Starts and stops, and what their answers mean.
+//! Start and stop orders, and the handling of their answers.
 
 use crate::action::{Action, StartOrder, StepDownReason, StopOrder};
 use crate::endpoint::EndpointKey;
@@ -13,14 +13,14 @@
 use crate::tasks::{TaskState, RUNS_PER_TERM};
 
 impl Planner {
-    /// Returns the number of the next start of a task: higher than any of this holder and of
+    /// Returns the run number of a task's next start: higher than any used by this holder or by
     /// earlier ones, whose terms are lower.
     pub(super) fn next_run(&self, last_run: Run) -> Run {
         let first = (self.holder.term - 1) * RUNS_PER_TERM + 1;
         first.max(last_run + 1)
     }
 
-    /// Places a run and orders its start. Returns false if that can't be done.
+    /// Places a run and orders its start. Returns false if that is not possible.
     pub(super) fn place_and_start(
         &mut self,
         key: EndpointKey,
@@ -38,7 +38,7 @@
         true
     }
 
-    /// Puts a run in the books of its endpoint and of its job's account.
+    /// Records a run with its endpoint, and its usage with the account of its job.
     pub(super) fn record_run(&mut self, key: EndpointKey, task: TaskKey, placed: PlacedRun) {
         if let Some((account, usage)) = placed.charge {
             self.accounts.add(account, usage);
@@ -47,14 +47,14 @@
         self.release_usage(replaced);
     }
 
-    /// Takes a run off the books of its job's account.
+    /// Subtracts the usage of a run from the account of its job.
     pub(super) fn release_usage(&mut self, placed: Option<PlacedRun>) {
         if let Some((account, usage)) = placed.and_then(|placed| placed.charge) {
             self.accounts.remove(account, usage);
         }
     }
 
-    /// Puts a run in the books of its endpoint and its task. Returns false if one of them is not there.
+    /// Records a run with its endpoint and its task. Returns false if one of them does not exist.
     pub(super) fn place_run(
         &mut self,
         key: EndpointKey,
@@ -126,7 +126,7 @@
         self.record_resumption(ServiceMilestone::Started);
     }
 
-    /// Orders the start of a run that has its place already. Returns false if that can't be done.
+    /// Orders the start of a run that is already placed. Returns false if that is not possible.
     pub(super) fn order_start(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> bool {
         let Some(order) = self.deferred_start_order(key, task, run) else {
             return false;
@@ -135,7 +135,7 @@
         true
     }
 
-    /// Returns the order that starts a run; none if no lease can be granted.
+    /// Returns the order that starts a run, or none if no lease can be granted.
     fn start_order(
         &mut self,
         key: EndpointKey,
@@ -164,7 +164,7 @@
         })
     }
 
-    /// Returns the order that starts a run which has had its place for a while, if its endpoint still takes it.
+    /// Returns the order that starts a run placed earlier, if its endpoint still accepts it.
     fn deferred_start_order(
         &mut self,
         key: EndpointKey,
@@ -188,18 +188,18 @@
         self.start_order(key, task, run, ticket)
     }
 
-    /// Sends a start that was not answered again: the same run, so that whichever copy comes first
-    /// starts it and the others find it there. Returns false if that can't be done.
+    /// Resends a start that was not answered, with the same run number: the first copy to arrive
+    /// starts the run, and the others find it there. Returns false if that is not possible.
     fn resend_start(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> bool {
         let Some(order) = self.deferred_start_order(key, task, run) else {
             return false;
         };
-        log::info!(task:% = task, run = run, endpoint:% = order.id; "start sent again");
+        log::info!(task:% = task, run = run, endpoint:% = order.id; "start resent");
         self.actions.push(Action::Start(order));
         true
     }
 
-    /// Returns a run on an endpoint, if it is the one that the books show there.
+    /// Returns the run of a task that is recorded on an endpoint, if it has this number.
     pub(super) fn placed_mut(
         &mut self,
         key: EndpointKey,
@@ -243,15 +243,15 @@
                 }
                 let endpoint = &mut self.endpoints[key];
                 endpoint.paused_until_ms = self.now + self.limits.start_pause_ms;
-                log::info!(task:% = task, run = run, endpoint:% = endpoint.entry.id; "start not answered, run is withdrawn");
+                log::info!(task:% = task, run = run, endpoint:% = endpoint.entry.id; "start not answered, withdrawing the run");
                 self.begin_stop(key, task, run);
                 self.abort_if_gang(task);
             }
         }
     }
 
-    /// Notes that a task of a job has begun. An order alone does not say so: until it is answered, callers
-    /// are told that the job waits.
+    /// Records that a task of a job has started. Until an order is answered, callers are told that
+    /// the job waits.
     pub(super) fn confirm_start(&mut self, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -280,7 +280,7 @@
             .get(&task)
             .map_or(0, |placed| placed.unanswered);
         if unanswered > 0 {
-            // An earlier copy may still be carried out, or has been.
+            // An earlier copy may have been executed or may still be.
             self.begin_stop(key, task, run);
             self.abort_if_gang(task);
             return;
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Marks a run to be stopped; its room stays taken until its end is known.
+    /// Marks a run to be stopped. Its resources stay reserved until its end is known.
     pub(super) fn begin_stop(&mut self, key: EndpointKey, task: TaskKey, run: Run) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -323,7 +323,7 @@
         match placed.phase {
             RunPhase::Stopping { .. } => return,
             RunPhase::Announced => {
-                // It was never sent.
+                // The start was never sent.
                 self.release_run(key, task);
                 self.requeue(task, key, run);
                 return;
@@ -387,7 +387,7 @@
             }
             StopAnswer::Fenced => self.step_down(StepDownReason::Fenced),
             StopAnswer::OtherIncarnation => self.give_up_replaced_endpoint(key),
-            // Sent again by `send_stops`.
+            // Resent by `send_stops`.
             StopAnswer::Refused | StopAnswer::Unanswered => {}
         }
     }
--- a/crates/chervilfall_planner/src/planner/schedule.rs
+++ b/crates/chervilfall_planner/src/planner/schedule.rs
@@ -1,8 +1,9 @@
-//! Offers room to steps that wait, best rank first.
+//! Places waiting tasks on endpoints, steps of the best rank first.
 //!
-//! A whole pass visits every open step, and there can be hundreds of them beside hundreds of endpoints. So
-//! whatever does not depend on the step is worked out once a pass, a step that can neither be placed nor asked
-//! about is left at once, and the passes between whole ones visit the steps of best rank only.
+//! A full pass visits every open step, and there can be hundreds of steps and of endpoints. So
+//! whatever does not depend on the step is computed once per pass, a step that can neither be
+//! placed nor request advice is skipped early, and the passes between full ones visit only the
+//! steps of the best rank.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,28 +26,30 @@
 use crate::resources::Resources;
 use crate::tasks::{StepKey, StepProgress};
 
-/// Time between passes over all open steps. On 350 endpoints with a hundred of them a pass took 2 ms of a core,
-/// a fifth of the time at one each tick, and a holder has half a core or less.
+/// Interval between passes over all open steps. With 350 endpoints and a hundred open steps a pass
+/// takes 2 ms of a core. A full pass at every tick would use a fifth of a core, and a holder has
+/// half a core or less.
 const FULL_PASS_INTERVAL_MS: Millis = 30;
-/// Steps of best rank that the passes between look at: short requests come first and can't wait.
+/// Number of best-ranked steps that the passes between full ones visit: short requests rank first
+/// and cannot wait for a full pass.
 const SHORT_PASS_STEPS: usize = 24;
 
-/// What holds for all steps of a pass.
+/// Values shared by all steps of a pass.
 pub(super) struct Pass {
-    /// Endpoints of each service that take work.
+    /// Endpoints that accept work, by service.
     pub(super) pools: BTreeMap<String, Vec<EndpointKey>>,
-    /// Holes that patient work leaves, by service.
+    /// Headroom that latency-tolerant work leaves free, by service.
     headroom_slots: BTreeMap<String, HeadroomSlots>,
-    /// A node can make a fast call for advice.
+    /// Whether a node can make a fast call for advice.
     fast_call_possible: bool,
-    /// A node can make a slow call for advice.
+    /// Whether a node can make a slow call for advice.
     slow_call_possible: bool,
 }
 
-/// What a step needs to be placed, taken from its job.
+/// What is needed to place a step, taken from its job.
 pub(super) struct StepRequest {
     spec: Arc<JobSpec>,
-    /// The step's position in the job.
+    /// The step's index in the job.
     step_index: usize,
     pub(super) service: String,
     pub(super) advice: Option<AdviceTimings>,
@@ -70,8 +73,8 @@
         }
         self.count_unconfirmed();
         let mut pass = self.begin_pass();
-        let whole = self.now.saturating_sub(self.last_full_pass_ms) >= FULL_PASS_INTERVAL_MS;
-        let keys = if whole {
+        let full = self.now.saturating_sub(self.last_full_pass_ms) >= FULL_PASS_INTERVAL_MS;
+        let keys = if full {
             self.last_full_pass_ms = self.now;
             self.rank_open_steps();
             self.open.keys()
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Returns the holes that patient work is to leave in each pool.
+    /// Returns the headroom that latency-tolerant work must leave in each pool.
     fn headroom_slots(
         &mut self,
         pools: &BTreeMap<String, Vec<EndpointKey>>,
@@ -116,8 +119,8 @@
         let (now, endpoints) = (self.now, &self.endpoints);
         let headroom_slots = self.headrooms.iter_mut().filter_map(|(service, headroom)| {
             let pool = pools.get(service)?;
-            let hurried = pool.iter().map(|key| endpoints[*key].sensitive_runs);
-            headroom.note_running(now, hurried.sum());
+            let running = pool.iter().map(|key| endpoints[*key].sensitive_runs);
+            headroom.note_running(now, running.sum());
             let free = pool.iter().map(|key| endpoints[*key].free());
             Some((service.clone(), headroom.slots(free)?))
         });
@@ -141,9 +144,10 @@
             return;
         }
         let advice = job.queue.advice;
-        let least = if step.gang { progress.waiting() } else { 1 };
-        // What its account may not start now holds up nobody else: no advice is asked for it.
-        if self.tasks_within_quota(key) < least {
+        let min_startable = if step.gang { progress.waiting() } else { 1 };
+        // A step that its account's quota keeps from starting requests no advice, so that it does
+        // not delay others.
+        if self.tasks_within_quota(key) < min_startable {
             return;
         }
         let blocked = job.inherited && self.barrier.is_some();
@@ -154,15 +158,16 @@
             return;
         }
         let placeable = !blocked && (advice.is_none() || progress.advice.any_ticket(self.now));
-        let idle = advice.is_some_and(|terms| {
-            if terms.is_slow() {
+        let call_possible = advice.is_some_and(|timings| {
+            if timings.is_slow() {
                 pass.slow_call_possible
             } else {
                 pass.fast_call_possible
             }
         });
-        let askable = idle && progress.advice.calls_in_flight() < max_calls_in_flight(step);
-        if !placeable && !askable {
+        let can_request_advice =
+            call_possible && progress.advice.calls_in_flight() < max_calls_in_flight(step);
+        if !placeable && !can_request_advice {
             return;
         }
         let request = StepRequest {
@@ -175,7 +180,7 @@
         if placeable {
             self.place_step(pass, key, &request);
         }
-        if askable {
+        if can_request_advice {
             while self.request_advice_for_step(pass, key, &request) {}
             pass.fast_call_possible = self.can_call_advice(false);
             pass.slow_call_possible = self.can_call_advice(true);
@@ -191,17 +196,18 @@
         self.usable_offers(candidates, key, request, Endpoint::accepts_work)
     }
 
-    /// Returns the endpoints that the step may use now if it keeps away from what has just begun.
+    /// Returns the endpoints that the step may use now, including those reserved for it.
     pub(super) fn offers_for_suspects(&self, key: StepKey, request: &StepRequest) -> Vec<Offer> {
         let candidates = self.candidates(key, request, || self.endpoints.keys().collect());
-        let takes = |endpoint: &Endpoint, now, limits: &Limits| {
-            let kept = endpoint.reserved_for(now);
-            kept.is_none_or(|step| step == key) && endpoint.accepts_reserved_work(now, limits)
+        let accepts = |endpoint: &Endpoint, now, limits: &Limits| {
+            let reserved_step = endpoint.reserved_for(now);
+            reserved_step.is_none_or(|step| step == key)
+                && endpoint.accepts_reserved_work(now, limits)
         };
-        self.usable_offers(candidates, key, request, takes)
+        self.usable_offers(candidates, key, request, accepts)
     }
 
-    /// Returns the endpoints for which the step has tickets, or all that there are if it needs none.
+    /// Returns the endpoints for which the step has tickets, or `all` if it needs no tickets.
     fn candidates(
         &self,
         key: StepKey,
@@ -222,18 +228,18 @@
         candidates: Vec<EndpointKey>,
         key: StepKey,
         request: &StepRequest,
-        takes: impl Fn(&Endpoint, Millis, &Limits) -> bool,
+        accepts: impl Fn(&Endpoint, Millis, &Limits) -> bool,
     ) -> Vec<Offer> {
         let job = self.jobs.get(&key.job);
         let Some(progress) = job.and_then(|job| job.step_progress(key)) else {
             return Vec::new();
         };
-        let required_resources = request.required_resources();
+        let need = request.required_resources();
         let usable = candidates.into_iter().filter_map(|endpoint_key| {
             let endpoint = self.endpoints.get(endpoint_key)?;
             let fits = endpoint.free().can_fit(need)
                 && endpoint.entry.service == request.service
-                && takes(endpoint, self.now, &self.limits);
+                && accepts(endpoint, self.now, &self.limits);
             fits.then_some((endpoint_key, endpoint))
         });
         let failed_on = &progress.failed_on;
@@ -258,13 +264,13 @@
         }
         let mut max_new_tasks = endpoint.max_new_tasks(self.now);
         if step.max_per_endpoint > 0 {
-            let there = endpoint
+            let placed_tasks = endpoint
                 .placed
                 .range(key.task(0)..=key.task(u32::MAX))
                 .count();
             let left = step
                 .max_per_endpoint
-                .saturating_sub(u32::try_from(there).unwrap_or(u32::MAX));
+                .saturating_sub(u32::try_from(placed_tasks).unwrap_or(u32::MAX));
             max_new_tasks = max_new_tasks.min(left);
         }
         let near = step
@@ -281,7 +287,7 @@
         })
     }
 
-    /// Returns an endpoint's speed; all are alike if that is not looked at.
+    /// Returns an endpoint's speed class, or the default for all if the speed policy is off.
     pub(super) fn speed_class(&self, endpoint: &Endpoint) -> SpeedClass {
         if self.limits.policies.speed {
             endpoint.speed.speed_class()
@@ -324,15 +330,15 @@
             return;
         }
         let mut offers = self.offers(pass, key, request);
-        let required_resources = request.required_resources();
+        let need = request.required_resources();
         let headroom_slots = pass.headroom_slots.get_mut(&request.service);
         let picks = match headroom_slots.filter(|_| self.must_leave_headroom(key, request)) {
             Some(slots) => pick_keeping_headroom(&mut offers, need, count, slots),
             None => pick_endpoints(&mut offers, need, count, request.latency_class),
         };
         let starts = waiting.iter().zip(picks);
-        let starts =
-            starts.map(|((index, last), endpoint)| (endpoint, *index, self.next_run(*last)));
+        let starts = starts
+            .map(|((index, last_run), endpoint)| (endpoint, *index, self.next_run(*last_run)));
         self.start_all(key, starts.collect());
     }
 
@@ -344,8 +350,8 @@
         request: &StepRequest,
         waiting: &WaitingTasks,
     ) {
-        let last = waiting.startable().map(|(_, last)| *last).max();
-        let run = self.next_run(last.unwrap_or(0));
+        let last_run = waiting.startable().map(|(_, last_run)| *last_run).max();
+        let run = self.next_run(last_run.unwrap_or(0));
         if !waiting.none_suspect() {
             self.place_gang_with_suspects(key, request, waiting, run);
             return;
@@ -375,21 +381,22 @@
         }
     }
 
-    /// Returns whether a step leaves room for hurried work: while its job has time to spare.
+    /// Returns whether a step must leave headroom for latency-sensitive work: it is
+    /// latency-tolerant and its job has slack.
     fn must_leave_headroom(&self, key: StepKey, request: &StepRequest) -> bool {
         let job = self.jobs.get(&key.job);
         request.latency_class == LatencyClass::Tolerant
             && job.is_some_and(|job| has_slack(job, self.unix_ms))
     }
 
-    /// Picks endpoints for a gang: on one rack if that matters and is possible.
+    /// Picks endpoints for a gang: all in one rack if the step asks for it and that is possible.
     pub(super) fn pick_gang(
         &self,
         request: &StepRequest,
         offers: &mut [Offer],
         count: u32,
     ) -> Vec<EndpointKey> {
-        let required_resources = request.required_resources();
+        let need = request.required_resources();
         if request.step().same_rack {
             let mut racks: BTreeMap<Option<&String>, Vec<Offer>> = BTreeMap::new();
             for offer in offers.iter() {
@@ -406,7 +413,7 @@
         pick_all_or_none(offers, need, count, request.latency_class).unwrap_or_default()
     }
 
-    /// All members of a gang resume from the same checkpoint.
+    /// Sets the newest checkpoint for all members of a gang, so that all resume from the same one.
     pub(super) fn share_checkpoint(&mut self, key: StepKey) {
         let Some(progress) = self
             .jobs
--- a/crates/chervilfall_planner/src/planner/suspects.rs
+++ b/crates/chervilfall_planner/src/planner/suspects.rs
@@ -1,4 +1,5 @@
-//! Starts of tasks that may bring down their endpoints: where little else is lost, and written down first.
+//! Starts of suspects, which are tasks that may crash their endpoints. They run where little else
+//! would be lost, and each start is stored before it is sent.
 
 use std::cmp::Reverse;
 
@@ -12,40 +13,42 @@
 use crate::resources::Resources;
 use crate::tasks::{StepKey, TaskState};
 
-/// How long a step waits for an endpoint that runs nothing before it takes others: as long as most work takes that has
-/// to end there first. Where work that lasts runs everywhere, none is ever empty.
+/// Time for which a step waits for an endpoint without runs before it accepts others: most work
+/// that must end there first takes no longer. Where every endpoint has long-running work, none
+/// becomes empty.
 const EMPTY_ENDPOINT_WAIT_MS: Millis = 10_000;
-/// How long an endpoint is kept free of other starts at a time: some whole passes.
+/// Time for which one reservation keeps other starts off an endpoint: several full passes.
 const RESERVATION_MS: Millis = 200;
 
-/// A task that waits, and its last run.
+/// Index of a waiting task, and its last run.
 pub(super) type WaitingTask = (u32, Run);
 
-/// The tasks of a step that wait, by what is known of them.
+/// The waiting tasks of a step, by verdict.
 #[derive(Debug, Default)]
 pub(super) struct WaitingTasks {
     pub(super) clear: Vec<WaitingTask>,
     pub(super) suspects: Vec<WaitingTask>,
     pub(super) isolated: Vec<WaitingTask>,
-    /// Tasks that wait until it is known whether they are at fault, or until an earlier run is stopped.
+    /// Number of tasks that cannot start until it is known whether they are at fault, or until an
+    /// earlier run is stopped.
     pub(super) blocked: u32,
 }
 
 impl WaitingTasks {
-    /// Returns whether all that can be started now can be started anywhere.
+    /// Returns whether every task that can be started now can be started on any endpoint.
     pub(super) fn none_suspect(&self) -> bool {
         self.suspects.is_empty() && self.isolated.is_empty()
     }
 
-    /// Keeps at most so many tasks.
-    pub(super) fn truncate(&mut self, most: usize) {
-        self.clear.truncate(most);
-        let left = most - self.clear.len();
+    /// Keeps at most `max` tasks.
+    pub(super) fn truncate(&mut self, max: usize) {
+        self.clear.truncate(max);
+        let left = max - self.clear.len();
         self.suspects.truncate(left);
         self.isolated.truncate(left - self.suspects.len());
     }
 
-    /// Returns those that can be started now.
+    /// Returns the tasks that can be started now.
     pub(super) fn startable(&self) -> impl Iterator<Item = &WaitingTask> {
         self.isolated
             .iter()
@@ -80,7 +83,8 @@
         waiting
     }
 
-    /// Starts suspects where the fewest runs are, and those against which much speaks where nothing runs.
+    /// Starts suspects on the endpoints with the fewest runs, and isolated tasks on endpoints
+    /// without runs.
     pub(super) fn place_suspects(
         &mut self,
         key: StepKey,
@@ -102,15 +106,15 @@
             if exclusive {
                 self.update_exclusive_search(key, request, count, picks.is_empty());
             }
-            for ((index, last), endpoint) in tasks.iter().zip(picks) {
-                let run = self.next_run(*last);
+            for ((index, last_run), endpoint) in tasks.iter().zip(picks) {
+                let run = self.next_run(*last_run);
                 self.announce(endpoint, key.task(*index), run, exclusive);
             }
         }
     }
 
-    /// Starts a gang of which some members are suspects, once all have a place. If much speaks against one, the whole
-    /// gang keeps apart.
+    /// Starts a gang with suspects among its members, once all members can be placed. If one must
+    /// be isolated, the whole gang runs exclusively.
     pub(super) fn place_gang_with_suspects(
         &mut self,
         key: StepKey,
@@ -141,9 +145,9 @@
         }
     }
 
-    /// Returns what may be used by a step with suspects: endpoints at whose address none has crashed of late, so that
-    /// a bad machine speaks against no task, or all if there are no others. A step that keeps apart takes only those
-    /// that run nothing, but does not wait for them without end.
+    /// Returns the endpoints for a step with suspects. Those at addresses with a recent crash count
+    /// as failed, so that they are used only if there are no others: a faulty machine must not
+    /// count against a task. An exclusive step waits a limited time for endpoints without runs.
     fn least_loaded_offers(
         &self,
         key: StepKey,
@@ -159,11 +163,11 @@
             offer.failed |= self.recently_crashed_at(&endpoint.entry.address);
         }
         if !exclusive {
-            // The emptiest first: all runs there are lost if the suspect is at fault.
-            let least = offers.iter().map(|offer| self.run_count(offer)).min();
-            let most = least.unwrap_or(0) + 1;
+            // Few runs must be there, because all of them are lost if the suspect is at fault.
+            let min_runs = offers.iter().map(|offer| self.run_count(offer)).min();
+            let max_runs = min_runs.unwrap_or(0) + 1;
             if !request.step().gang {
-                offers.retain(|offer| self.run_count(offer) <= most);
+                offers.retain(|offer| self.run_count(offer) <= max_runs);
             }
         }
         offers
@@ -180,31 +184,31 @@
         since_ms.map_or(0, |since_ms| self.now.saturating_sub(since_ms))
     }
 
-    /// Notes whether a step still looks for endpoints that run nothing, and keeps other starts away from enough of them
-    /// until they are empty: those that it has kept before, and then the ones with the fewest runs.
+    /// Records whether a step still searches for endpoints without runs, and reserves enough
+    /// endpoints until they are empty: those reserved before, then those with the fewest runs.
     fn update_exclusive_search(
         &mut self,
         key: StepKey,
         request: &StepRequest,
         count: u32,
-        searches: bool,
+        searching: bool,
     ) {
         let now = self.now;
-        let required_resources = request.required_resources();
+        let need = request.required_resources();
         let mut offers = self.offers_for_suspects(key, request);
-        // While no endpoint can be had at all, nothing is waited for.
-        let searches = searches && !offers.is_empty();
+        // The wait does not begin while there is no usable endpoint at all.
+        let searching = searching && !offers.is_empty();
         let job = self.jobs.get_mut(&key.job);
         if let Some(progress) = job.and_then(|job| job.step_progress_mut(key)) {
             let since_ms = progress.exclusive_since_ms.unwrap_or(now);
-            progress.exclusive_since_ms = searches.then_some(since_ms);
+            progress.exclusive_since_ms = searching.then_some(since_ms);
         }
-        if !searches {
+        if !searching {
             return;
         }
         offers.sort_by_key(|offer| {
-            let kept = self.endpoints[offer.endpoint].reserved_for(now).is_some();
-            (Reverse(kept), self.run_count(offer))
+            let reserved = self.endpoints[offer.endpoint].reserved_for(now).is_some();
+            (Reverse(reserved), self.run_count(offer))
         });
         let mut missing = if request.step().gang { count } else { 1 };
         for offer in offers {
@@ -218,19 +222,19 @@
         }
     }
 
-    /// Places a run whose start waits until the store has it.
+    /// Places a run whose start is sent once its exposure is stored.
     fn announce(&mut self, endpoint: EndpointKey, task: TaskKey, run: Run, exclusive: bool) {
         if !self.place_run(endpoint, task, run, RunPhase::Announced, exclusive) {
             return;
         }
         let id = self.endpoints[endpoint].entry.id.clone();
-        log::info!(task:% = task, run = run, endpoint:% = id, apart = exclusive; "start waits for the store");
+        log::info!(task:% = task, run = run, endpoint:% = id, apart = exclusive; "start waits until its exposure is stored");
         self.record_planned_start(task, run, &id);
         self.announced.insert(task, (endpoint, run));
         self.unsaved.progress.insert(task.job);
     }
 
-    /// Orders a start whose note is stored.
+    /// Orders the start of a run whose exposure is stored.
     pub(super) fn start_announced(&mut self, endpoint: EndpointKey, task: TaskKey, run: Run) {
         if self.announced.get(&task) == Some(&(endpoint, run)) {
             self.announced.remove(&task);
@@ -241,7 +245,7 @@
         };
         placed.phase = RunPhase::Starting;
         if !self.order_start(endpoint, task, run) {
-            log::info!(task:% = task, run = run; "start not ordered after all");
+            log::info!(task:% = task, run = run; "announced start cannot be ordered, requeuing the task");
             self.release_run(endpoint, task);
             self.requeue(task, endpoint, run);
         }
--- a/crates/chervilfall_planner/src/policy/mod.rs
+++ b/crates/chervilfall_planner/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Rules that decide, one a file.
+//! Scheduling policies, one per file.
 
 pub(crate) mod crashes;
 pub(crate) mod headroom;
--- a/crates/chervilfall_planner/src/resources.rs
+++ b/crates/chervilfall_planner/src/resources.rs
@@ -1,14 +1,14 @@
-//! Room of endpoints, what tasks take of it, and what client accounts may take.
+//! Resources of endpoints, usage by tasks and quotas of client accounts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::endpoint::EndpointEntry;
 use crate::job::Step;
 
-/// Room of an endpoint, or what tasks take of it.
+/// Resources of an endpoint, or the amount that tasks use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory, in megabytes.
     pub memory_mb: u64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns what a task of a step takes of its endpoint.
+    /// Returns the resources that a task of a step reserves on its endpoint.
     pub(crate) fn of_step(step: &Step) -> Self {
         Self {
             cpu_milli: if step.fills { 0 } else { step.cpu_milli.into() },
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns what a task of a step is charged to its account: what it was asked to have, also where it takes only what
-    /// others leave.
+    /// Returns the resources that a task of a step is charged for: all that it requests, even if it
+    /// reserves no CPU and only uses what others leave over.
     pub(crate) fn charged_to_account(step: &Step) -> Self {
         Self {
             cpu_milli: step.cpu_milli.into(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns what `count` tasks take that take this each.
+    /// Returns the resources of `count` tasks that use this amount each.
     pub(crate) fn times(self, count: u32) -> Self {
         let count = u64::from(count);
         Self {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns how many of `need` fit.
+    /// Returns how many times `need` fits.
     pub(crate) fn max_fitting(self, need: Self) -> u32 {
         let parts = [
             (self.cpu_milli, need.cpu_milli),
@@ -89,9 +89,10 @@
             .unwrap_or(u32::MAX)
     }
 
-    /// Returns how many of `need` fit under this quota, in which 0 stands for no limit, beside what is used.
+    /// Returns how many times `need` fits under this quota in addition to `used`. In a quota, 0
+    /// means no limit.
     pub(crate) fn max_fitting_in_quota(self, used: Self, need: Self) -> u32 {
-        let limited = |most: u64, need: u64| if most == 0 { 0 } else { need };
+        let limited = |limit: u64, need: u64| if limit == 0 { 0 } else { need };
         let need = Self {
             cpu_milli: limited(self.cpu_milli, need.cpu_milli),
             memory_mb: limited(self.memory_mb, need.memory_mb),
