--- a/crates/chervilfall_node/src/clock.rs
+++ b/crates/chervilfall_node/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time since the process began, and time of day.
+//! Steady time since the process started, and wall-clock time.
 
 use std::sync::OnceLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -18,7 +18,8 @@
     clock().now_ms()
 }
 
-/// Returns the time of day in milliseconds since 1970; 0 if the clock stands before that.
+/// Returns the wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set before
+/// it.
 pub(crate) fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let since = since.unwrap_or(Duration::ZERO);
--- a/crates/chervilfall_node/src/configuration.rs
+++ b/crates/chervilfall_node/src/configuration.rs
@@ -9,10 +9,10 @@
 use crate::clock::{clock, now_ms};
 use crate::routes::RouteTable;
 
-/// Stands for a time that is not known.
-const NEVER: u64 = u64::MAX;
-/// Time between looks at whether the configuration was confirmed meanwhile.
-const LOOK: Duration = Duration::from_millis(20);
+/// Stands for an unknown time or version.
+const UNKNOWN: u64 = u64::MAX;
+/// Interval between checks whether an awaited reading was answered.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The configuration in force; shared by the node's tasks.
 #[derive(Debug)]
@@ -20,13 +20,13 @@
     table: RwLock<Option<Arc<RouteTable>>>,
     /// Version in force, if one is known.
     version: AtomicU64,
-    /// When the last reading began that showed nothing newer, in milliseconds.
+    /// When the last reading began that found nothing newer, in milliseconds.
     confirmed_ms: AtomicU64,
-    /// When the last reading began that the store answered, whatever it showed, in milliseconds.
-    heard_ms: AtomicU64,
-    /// Asks the reader for a reading.
-    wanted: Notify,
-    /// Time in which a configuration must be in force.
+    /// When the last reading began that the store answered, whatever its result, in milliseconds.
+    answered_ms: AtomicU64,
+    /// Notifies the reader that a reading is requested.
+    reading_requested: Notify,
+    /// Time within which a configuration must be in force, in milliseconds.
     apply_ms: u64,
 }
 
@@ -34,10 +34,10 @@
     pub(crate) fn new(apply_ms: u64) -> Self {
         Self {
             table: RwLock::default(),
-            version: AtomicU64::new(NEVER),
-            confirmed_ms: AtomicU64::new(NEVER),
-            heard_ms: AtomicU64::new(NEVER),
-            wanted: Notify::new(),
+            version: AtomicU64::new(UNKNOWN),
+            confirmed_ms: AtomicU64::new(UNKNOWN),
+            answered_ms: AtomicU64::new(UNKNOWN),
+            reading_requested: Notify::new(),
             apply_ms,
         }
     }
@@ -52,7 +52,7 @@
     /// Returns the version in force, if one is known.
     pub(crate) fn version(&self) -> Option<u64> {
         let version = self.version.load(Ordering::Acquire);
-        (version != NEVER).then_some(version)
+        (version != UNKNOWN).then_some(version)
     }
 
     /// Returns how long ago the configuration was known to be the newest, if it ever was.
@@ -61,86 +61,95 @@
         age_ms(&self.confirmed_ms)
     }
 
-    /// Returns whether a configuration is known, and the store was heard of it lately enough that one that can be read
-    /// would be in force.
+    /// Returns whether a configuration is known, and the store answered a reading recently enough
+    /// that a newer one that can be decoded would be in force.
     #[must_use]
-    pub fn is_followed(&self) -> bool {
-        let heard = age_ms(&self.heard_ms).is_some_and(|age_ms| age_ms <= self.apply_ms);
-        self.current().is_some() && (heard || self.is_current())
+    pub fn has_recent_answer(&self) -> bool {
+        let answered = age_ms(&self.answered_ms).is_some_and(|age_ms| age_ms <= self.apply_ms);
+        self.current().is_some() && (answered || self.is_current())
     }
 
-    /// Returns whether everything is in force that was acknowledged so long ago that it must be.
+    /// Returns whether the configuration was confirmed so recently that everything that must be in
+    /// force is.
     #[must_use]
     pub fn is_current(&self) -> bool {
         self.age_ms().is_some_and(|age_ms| age_ms <= self.apply_ms)
     }
 
-    /// Waits until the configuration is confirmed, if it was not for too long; returns whether it is.
-    pub(crate) async fn until_current(&self, patience: Duration) -> bool {
-        self.until(Self::is_current, patience).await
+    /// Waits until the configuration is confirmed, if the last confirmation is too old; returns
+    /// whether it is current.
+    pub(crate) async fn wait_until_current(&self, wait_budget: Duration) -> bool {
+        self.wait_until(Self::is_current, wait_budget).await
     }
 
-    /// Waits until the store has answered a reading that began after a time; returns whether it has.
-    pub(crate) async fn until_heard_since(&self, since_ms: u64, patience: Duration) -> bool {
-        let heard = |state: &Self| match state.heard_ms.load(Ordering::Relaxed) {
-            NEVER => false,
-            heard_ms => heard_ms >= since_ms,
+    /// Waits until the store has answered a reading that began after a time; returns whether it
+    /// has.
+    pub(crate) async fn wait_for_answer_since(&self, since_ms: u64, wait_budget: Duration) -> bool {
+        let answered = |state: &Self| match state.answered_ms.load(Ordering::Relaxed) {
+            UNKNOWN => false,
+            answered_ms => answered_ms >= since_ms,
         };
-        self.until(heard, patience).await
+        self.wait_until(answered, wait_budget).await
     }
 
-    /// Waits for what a reading brings about; returns whether it holds.
-    async fn until(&self, holds: impl Fn(&Self) -> bool, patience: Duration) -> bool {
+    /// Requests a reading and waits until `holds` is true; returns whether it is.
+    async fn wait_until(&self, holds: impl Fn(&Self) -> bool, wait_budget: Duration) -> bool {
         if holds(self) {
             return true;
         }
-        self.want();
-        let deadline = clock().deadline(patience);
+        self.request_reading();
+        let deadline = clock().deadline(wait_budget);
         while !holds(self) && !clock().left(deadline).is_zero() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         holds(self)
     }
 
-    /// Takes note of a version that another node has in force.
-    pub(crate) fn heard_of(&self, version: Option<u64>) {
+    /// Requests a reading if another node has a newer version in force.
+    pub(crate) fn note_remote_version(&self, version: Option<u64>) {
         if version > self.version() {
-            self.want();
+            self.request_reading();
         }
     }
 
-    /// Takes in what the holder has in force, known to be the newest `age_ms` before it answered, which was after it was
-    /// asked at `asked_ms`.
-    pub(crate) fn told(&self, asked_ms: u64, age_ms: u64, table: Option<Arc<RouteTable>>) {
+    /// Adopts the configuration that the holder has in force, known to be the newest `age_ms`
+    /// before the holder answered, which was after the request at `asked_ms`.
+    pub(crate) fn apply_from_holder(
+        &self,
+        asked_ms: u64,
+        age_ms: u64,
+        table: Option<Arc<RouteTable>>,
+    ) {
         let at_ms = asked_ms.saturating_sub(age_ms);
         match table {
-            Some(table) => self.put(table, at_ms),
+            Some(table) => self.put_in_force(table, at_ms),
             None => self.confirm(at_ms),
         }
     }
 
-    /// Asks for a reading now.
-    pub(crate) fn want(&self) {
-        self.wanted.notify_one();
+    /// Requests a reading now.
+    pub(crate) fn request_reading(&self) {
+        self.reading_requested.notify_one();
     }
 
-    /// Waits until a reading is asked for.
-    pub(crate) async fn wanted(&self) {
-        self.wanted.notified().await;
+    /// Waits until a reading is requested.
+    pub(crate) async fn reading_requested(&self) {
+        self.reading_requested.notified().await;
     }
 
-    /// Notes that the configuration in force was the newest at a time.
+    /// Records that the configuration in force was the newest at `at_ms`.
     pub(crate) fn confirm(&self, at_ms: u64) {
         advance(&self.confirmed_ms, at_ms);
     }
 
-    /// Notes that the store has answered a reading that began at a time.
-    pub(crate) fn hear(&self, at_ms: u64) {
-        advance(&self.heard_ms, at_ms);
+    /// Records that the store has answered a reading that began at `at_ms`.
+    pub(crate) fn record_answer(&self, at_ms: u64) {
+        advance(&self.answered_ms, at_ms);
     }
 
-    /// Puts a configuration in force that the store had as the newest at a time, unless it or a newer one is.
-    pub(crate) fn put(&self, table: Arc<RouteTable>, at_ms: u64) {
+    /// Puts a configuration in force that was the store's newest at `at_ms`, unless it or a newer
+    /// one already is.
+    pub(crate) fn put_in_force(&self, table: Arc<RouteTable>, at_ms: u64) {
         let unconfirmed_ms = self.age_ms();
         let (version, routes) = (table.version, table.routes.len());
         let replaced = self.replace(table);
@@ -150,7 +159,8 @@
         }
         metrics::gauge!("chervilfall_configuration_version", "at" => "front").set(version as f64);
         if let Some(unconfirmed_ms) = unconfirmed_ms {
-            // It was acknowledged since the last confirmation, so that this bounds how late it is.
+            // It was acknowledged after the last confirmation, so this is an upper bound of its
+            // delay.
             metrics::histogram!("chervilfall_configuration_in_force_seconds")
                 .record(unconfirmed_ms as f64 / 1_000.0);
         }
@@ -160,7 +170,7 @@
         );
     }
 
-    /// Returns whether the configuration is newer than the one that was in force.
+    /// Replaces the configuration in force if this one is newer; returns whether it is.
     fn replace(&self, table: Arc<RouteTable>) -> bool {
         let version = table.version;
         let mut current = self.table.write().unwrap_or_else(PoisonError::into_inner);
@@ -178,15 +188,15 @@
     }
 }
 
-/// Returns how long ago a time was, if it is known.
+/// Returns the time since `at_ms`, if it is known.
 fn age_ms(at_ms: &AtomicU64) -> Option<u64> {
     let at_ms = at_ms.load(Ordering::Relaxed);
-    (at_ms != NEVER).then(|| now_ms().saturating_sub(at_ms))
+    (at_ms != UNKNOWN).then(|| now_ms().saturating_sub(at_ms))
 }
 
 /// Sets a time, unless a later one is set.
 fn advance(time_ms: &AtomicU64, at_ms: u64) {
-    let later = |known_ms: u64| (known_ms == NEVER || known_ms < at_ms).then_some(at_ms);
-    // It fails if a later time is set, which is what is wanted.
+    let later = |known_ms: u64| (known_ms == UNKNOWN || known_ms < at_ms).then_some(at_ms);
+    // It fails if a later time is set, as intended.
     let _ = time_ms.fetch_update(Ordering::Relaxed, Ordering::Relaxed, later);
 }
--- a/crates/chervilfall_node/src/control.rs
+++ b/crates/chervilfall_node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: feeds the planner while this node holds the group, and carries out what it
-//! wants done.
+//! The control thread: feeds the planner while this node holds the group, and carries out its
+//! actions.
 
 mod actions;
 
@@ -10,7 +10,7 @@
 use chervilfall_kernel::{ControlLoop, Work};
 use chervilfall_planner::{
     AdviceAnswer, Answer, EndpointEntry, Event, Limits, NodeId, Planner, ReplyTo, Request,
-    StartNote, StepDownReason, Stored, Takeover,
+    StartNote, StepDownReason, StoredGroup, Takeover,
 };
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, oneshot};
@@ -18,28 +18,29 @@
 use crate::clock::{now_ms, unix_ms};
 use crate::configuration::ConfigurationState;
 use crate::front::Front;
-use crate::leadership::{Ask, Leadership, LeadershipState};
+use crate::leadership::{Leadership, LeadershipState, PendingRequest};
 use crate::link::{FollowerLink, ToFollower};
 use crate::load::ControlLoad;
 use crate::ports::Platform;
 
-/// Number of this node among those that can call for advice.
-const SELF: NodeId = 0;
+/// Number of this node among those that can call the advice service.
+const LOCAL_NODE: NodeId = 0;
 
-/// Most routes of a configuration that is told over a link: more would keep heartbeats from a thin link for so long that
-/// it counts as broken.
-const MOST_ROUTES_TOLD: usize = 500;
+/// Maximum number of routes of a configuration that is sent over a link: a larger one would delay
+/// heartbeats on a slow link for so long that it counts as broken.
+const MAX_ROUTES_SENT: usize = 500;
 
-/// A node makes way for one with so many times its processor.
-const MAKE_WAY_FACTOR: u64 = 2;
-/// How long that one must have been linked: a node that comes and goes would hold the group for a moment only.
-const MAKE_WAY_MS: u64 = 1_000;
+/// A holder hands the group over to a node with at least this many times its CPU.
+const HANDOVER_CPU_FACTOR: u64 = 2;
+/// How long that node must have been linked: one whose links keep breaking would hold the group
+/// only briefly.
+const HANDOVER_LINK_AGE_MS: u64 = 1_000;
 
-/// What the control thread is told.
+/// Events of the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// A request of this node's callers.
-    Ask(Ask),
+    /// A request from one of this node's callers.
+    LocalRequest(PendingRequest),
     /// A follower has linked.
     LinkUp {
         id: NodeId,
@@ -48,31 +49,31 @@
     },
     /// A follower's link has ended.
     LinkDown { id: NodeId },
-    /// A request that a follower passes on.
+    /// A request that a follower forwards.
     LinkRequest {
         id: NodeId,
         number: u64,
         request: Request,
     },
     /// A follower asks for the configuration in force.
-    ConfigurationWanted {
+    ConfigurationRequest {
         id: NodeId,
         known: Option<u64>,
         asked_ms: u64,
     },
-    /// A node that held the group before tells what it has started and could not store.
+    /// A node that held the group before reports starts that it could not store.
     UnstoredStarts(Vec<StartNote>),
     /// A call for advice was answered.
     Advised { number: u64, answer: AdviceAnswer },
-    /// What the planner of a term wanted done was answered.
-    Done { term: u64, event: Event },
+    /// An action of the planner of a term has completed.
+    ActionCompleted { term: u64, event: Event },
     /// This node has claimed the group.
     Claimed {
         takeover: Takeover,
-        stored: Stored,
+        stored: StoredGroup,
         claimed_ms: u64,
     },
-    /// This node reads the rows of a group that it has claimed, or does not any more.
+    /// Whether this node is reading the rows of a group that it has claimed.
     Recovering(bool),
     /// The list of endpoints was read.
     Endpoints {
@@ -81,7 +82,7 @@
     },
     /// A planned stop has begun.
     Release,
-    /// Tells by its age how long events wait.
+    /// Shows by its age how long events wait in the queue.
     Probe(Instant),
 }
 
@@ -91,23 +92,23 @@
     pub(crate) group: String,
     pub(crate) limits: Limits,
     pub(crate) heartbeat_ms: u64,
-    /// Processor that this node may use, in thousandths of a core.
+    /// CPU that this node may use, in thousandths of a core.
     pub(crate) cpu_permille: u64,
     pub(crate) front: Arc<Front>,
     pub(crate) leadership: Arc<LeadershipState>,
     pub(crate) sender: mpsc::Sender<ControlEvent>,
     pub(crate) traffic: Handle,
     planner: Option<Planner>,
-    /// What this node has started as a holder and could not store, until the next holder knows.
+    /// Starts that this node made as a holder and could not store, until the next holder has them.
     unstored: Vec<StartNote>,
     configuration: Arc<ConfigurationState>,
-    /// Version that the planner knows.
-    configured: Option<u64>,
-    /// This node reads the rows of a group that it has claimed.
+    /// Version of the configuration that the planner has.
+    planner_configuration_version: Option<u64>,
+    /// This node is reading the rows of a group that it has claimed.
     recovering: bool,
     links: BTreeMap<NodeId, FollowerLink>,
     waiting: HashMap<u64, oneshot::Sender<Answer>>,
-    next_ask: u64,
+    next_request: u64,
     heartbeat_due_ms: u64,
     load: ControlLoad,
 }
@@ -139,11 +140,11 @@
             planner: None,
             unstored: Vec::new(),
             configuration,
-            configured: None,
+            planner_configuration_version: None,
             recovering: false,
             links: BTreeMap::new(),
             waiting: HashMap::new(),
-            next_ask: 0,
+            next_request: 0,
             heartbeat_due_ms: 0,
             load: ControlLoad::new(Instant::now()),
         }
@@ -161,54 +162,57 @@
     }
 
     fn step_down(&mut self, reason: StepDownReason) {
-        log::info!(reason:? = reason; "following again");
+        log::info!(reason:? = reason; "holder stepped down, following again");
         if let Some(planner) = self.planner.take() {
             self.unstored = planner.unstored_starts();
         }
         self.waiting.clear();
         self.drop_links();
         if matches!(self.leadership.current(), Leadership::Local) {
-            self.leadership.set(Leadership::Nobody);
+            self.leadership.set(Leadership::NoHolder);
             self.front.set_claim_age(u64::MAX);
         }
     }
 
-    fn claimed(&mut self, takeover: Takeover, stored: Stored, claimed_ms: u64) {
+    fn claimed(&mut self, takeover: Takeover, stored: StoredGroup, claimed_ms: u64) {
         let planner = Planner::new(self.limits.clone(), takeover, stored, claimed_ms);
         self.planner = Some(planner);
         self.leadership.set(Leadership::Local);
-        self.configured = None;
-        self.configure();
+        self.planner_configuration_version = None;
+        self.update_planner_configuration();
         self.feed_nodes();
-        // Links that were kept while rows were read hear of it at once.
+        // Links that were kept open while rows were read get a heartbeat immediately.
         self.heartbeat_due_ms = 0;
-        self.beat();
+        self.send_heartbeats();
     }
 
-    /// Tells the planner of a configuration that has come into force. It is looked up before each event, so that nothing
-    /// is decided by an older one, however many events wait.
-    fn configure(&mut self) {
-        if self.planner.is_none() || self.configuration.version() == self.configured {
+    /// Passes a configuration that has come into force to the planner. This is checked before each
+    /// event, so that nothing is decided by an older one, however many events are queued.
+    fn update_planner_configuration(&mut self) {
+        if self.planner.is_none()
+            || self.configuration.version() == self.planner_configuration_version
+        {
             return;
         }
         let Some(table) = self.configuration.current() else {
             return;
         };
-        self.configured = Some(table.version);
+        self.planner_configuration_version = Some(table.version);
         metrics::gauge!("chervilfall_configuration_version", "at" => "planner")
             .set(table.version as f64);
         self.feed(Event::Configured(Arc::new(table.configuration())));
     }
 
-    /// Has the configuration read if the node that took a request knows a newer one.
-    fn look_for_newer(&self, request: &Request) {
+    /// Requests a reading of the configuration if the node that accepted a request has a newer one.
+    fn note_request_version(&self, request: &Request) {
         if let Request::Submit { queue, .. } = request {
-            self.configuration.heard_of(Some(queue.configuration));
+            self.configuration
+                .note_remote_version(Some(queue.configuration));
         }
     }
 
-    /// Tells a follower, which may not reach the store, what is in force here.
-    fn tell_configuration(&self, id: NodeId, known: Option<u64>, asked_ms: u64) {
+    /// Sends the configuration in force to a follower, which may not reach the store.
+    fn send_configuration(&self, id: NodeId, known: Option<u64>, asked_ms: u64) {
         let current = (self.configuration.age_ms(), self.configuration.current());
         let (Some(link), (Some(age_ms), Some(table))) = (self.links.get(&id), current) else {
             return;
@@ -216,11 +220,11 @@
         let table = (Some(table.version) > known).then_some(table);
         if table
             .as_ref()
-            .is_some_and(|table| table.routes.len() > MOST_ROUTES_TOLD)
+            .is_some_and(|table| table.routes.len() > MAX_ROUTES_SENT)
         {
             return;
         }
-        // A follower that misses it asks again.
+        // A follower that does not receive it asks again.
         drop(link.queue.try_send(ToFollower::Configuration {
             asked_ms,
             age_ms,
@@ -229,7 +233,7 @@
     }
 
     fn feed_nodes(&mut self) {
-        let nodes = std::iter::once(SELF).chain(self.links.keys().copied());
+        let nodes = std::iter::once(LOCAL_NODE).chain(self.links.keys().copied());
         self.feed(Event::Nodes(nodes.collect()));
     }
 
@@ -240,13 +244,13 @@
             return;
         };
         log::info!(link = id, follower = node, serves = self.planner.is_some(); "follower linked");
-        // The queue is new and empty.
+        // The queue is new and empty, so this does not fail.
         drop(link.queue.try_send(first));
         self.links.insert(id, link);
         self.feed_nodes();
     }
 
-    /// Returns what followers are told, if this node holds the group or is about to.
+    /// Returns the message for followers if this node holds the group or is about to.
     fn heartbeat(&self) -> Option<ToFollower> {
         let Some(planner) = &self.planner else {
             return self.recovering.then_some(ToFollower::Recovering);
@@ -258,7 +262,8 @@
         })
     }
 
-    /// Keeps links while rows are read: followers would dial again and again. They end if the group is not taken over.
+    /// Keeps links open while rows are read, as followers would otherwise dial again and again.
+    /// They are closed if the group is not taken over.
     fn set_recovering(&mut self, recovering: bool) {
         self.recovering = recovering;
         if !recovering && self.planner.is_none() {
@@ -268,26 +273,27 @@
 
     fn drop_links(&mut self) {
         for link in self.links.values() {
-            // A follower that misses this sees the link end.
+            // A follower that does not receive this notices that the link ends.
             drop(link.queue.try_send(ToFollower::NotHolder));
         }
         self.links.clear();
     }
 
-    /// Hands the group to a machine with far more processor that is back: this one could hardly serve all callers.
-    fn make_way(&mut self) {
+    /// Hands the group over to a node with much more CPU that is linked again: this one could
+    /// hardly serve all callers.
+    fn hand_over_to_larger_node(&mut self) {
         let Some(planner) = &mut self.planner else {
             return;
         };
-        let linked_by_ms = now_ms().saturating_sub(MAKE_WAY_MS);
+        let linked_by_ms = now_ms().saturating_sub(HANDOVER_LINK_AGE_MS);
         let steady = self
             .links
             .values()
             .filter(|link| link.since_ms <= linked_by_ms);
         let largest = steady.map(|link| link.cpu_permille).max().unwrap_or(0);
-        planner.set_wanted_permille(largest);
-        if largest >= MAKE_WAY_FACTOR * self.cpu_permille && !planner.is_releasing() {
-            log::info!(term = planner.term(), wanted_permille = largest; "group is handed to a larger node");
+        planner.set_required_permille(largest);
+        if largest >= HANDOVER_CPU_FACTOR * self.cpu_permille && !planner.is_releasing() {
+            log::info!(term = planner.term(), wanted_permille = largest; "group is handed over to a node with more CPU");
             planner.release();
         }
     }
@@ -298,42 +304,45 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn accept_request(&mut self, pending: PendingRequest) {
         if self.planner.is_none() {
-            // Dropping the sender tells the front to look for the holder again.
+            // Dropping the sender makes the front look for the holder again.
             return;
         }
-        self.next_ask += 1;
-        let number = self.next_ask;
-        self.waiting.insert(number, ask.answer);
+        self.next_request += 1;
+        let number = self.next_request;
+        self.waiting.insert(number, pending.answer);
         self.feed(Event::Request {
-            to: ReplyTo { node: SELF, number },
-            request: ask.request,
+            to: ReplyTo {
+                node: LOCAL_NODE,
+                number,
+            },
+            request: pending.request,
         });
     }
 
-    /// Tells the present holder what this node has started and could not store: if an endpoint was lost with it, nobody
-    /// else knows.
-    fn tell_unstored(&mut self) {
+    /// Sends the current holder the starts that this node could not store: if an endpoint was lost
+    /// together with this node's claim, no other node knows them.
+    fn send_unstored_starts(&mut self) {
         if self.unstored.is_empty() {
             return;
         }
         match self.leadership.current() {
-            Leadership::Nobody => {}
+            Leadership::NoHolder => {}
             Leadership::Local => {
                 let starts = std::mem::take(&mut self.unstored);
                 self.feed(Event::UnstoredStarts(starts));
             }
             Leadership::Remote(link) => {
-                if link.tell_unstored(&self.unstored) {
-                    log::info!(starts = self.unstored.len(); "starts that were not stored handed over");
+                if link.send_unstored_starts(&self.unstored) {
+                    log::info!(starts = self.unstored.len(); "unstored starts sent to the holder");
                     self.unstored.clear();
                 }
             }
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let now = now_ms();
         let Some(heartbeat) = self.heartbeat() else {
             return;
@@ -345,12 +354,12 @@
             return;
         }
         self.heartbeat_due_ms = now + self.heartbeat_ms;
-        self.make_way();
-        // A full queue shows in the status without a probe.
+        self.hand_over_to_larger_node();
+        // A full queue shows in the status even without a probe.
         drop(self.sender.try_send(ControlEvent::Probe(Instant::now())));
         self.waiting.retain(|_, waiter| !waiter.is_closed());
         for link in self.links.values() {
-            // A follower that misses heartbeats gives the link up.
+            // A follower that misses heartbeats closes the link.
             drop(link.queue.try_send(heartbeat.clone()));
         }
     }
@@ -360,11 +369,11 @@
     type Event = ControlEvent;
 
     fn handle(&mut self, event: ControlEvent) {
-        self.configure();
+        self.update_planner_configuration();
         match event {
-            ControlEvent::Ask(ask) => {
-                self.look_for_newer(&ask.request);
-                self.ask(ask);
+            ControlEvent::LocalRequest(pending) => {
+                self.note_request_version(&pending.request);
+                self.accept_request(pending);
             }
             ControlEvent::LinkUp { id, node, link } => self.link_up(id, &node, link),
             ControlEvent::LinkDown { id } => self.link_down(id),
@@ -373,22 +382,22 @@
                 number,
                 request,
             } => {
-                self.look_for_newer(&request);
+                self.note_request_version(&request);
                 self.feed(Event::Request {
                     to: ReplyTo { node: id, number },
                     request,
                 });
             }
-            ControlEvent::ConfigurationWanted {
+            ControlEvent::ConfigurationRequest {
                 id,
                 known,
                 asked_ms,
-            } => self.tell_configuration(id, known, asked_ms),
+            } => self.send_configuration(id, known, asked_ms),
             ControlEvent::UnstoredStarts(starts) => self.feed(Event::UnstoredStarts(starts)),
             ControlEvent::Advised { number, answer } => {
                 self.feed(Event::Advised { number, answer });
             }
-            ControlEvent::Done { term, event } => {
+            ControlEvent::ActionCompleted { term, event } => {
                 if self
                     .planner
                     .as_ref()
@@ -411,15 +420,15 @@
                     planner.release();
                 }
             }
-            ControlEvent::Probe(sent) => self.load.probed(sent.elapsed()),
+            ControlEvent::Probe(sent) => self.load.record_queue_age(sent.elapsed()),
         }
     }
 
     fn tick(&mut self) {
-        self.configure();
+        self.update_planner_configuration();
         self.feed(Event::Tick { unix_ms: unix_ms() });
-        self.tell_unstored();
-        self.beat();
+        self.send_unstored_starts();
+        self.send_heartbeats();
     }
 
     fn worked(&mut self, work: Work) {
@@ -431,11 +440,11 @@
             let backlog = planner.backlog();
             log::info!(
                 term = planner.term(), busy_percent = status.busy_percent, events = status.events,
-                most_waiting = status.most_waiting, oldest_ms = status.oldest_ms,
-                longest_ms = status.longest_ms, open_steps = backlog.open_steps,
+                most_waiting = status.most_waiting, oldest_ms = status.max_queue_age_ms,
+                longest_ms = status.max_stretch_ms, open_steps = backlog.open_steps,
                 unsaved_jobs = backlog.unsaved_jobs, advice_calls = backlog.advice_calls,
                 links = self.links.len();
-                "control thread"
+                "control thread load"
             );
         }
     }
--- a/crates/chervilfall_node/src/keys.rs
+++ b/crates/chervilfall_node/src/keys.rs
@@ -1,11 +1,11 @@
-//! API keys of client accounts. Keys themselves are kept nowhere: a node knows their digests.
+//! API keys of client accounts. Nodes keep only the digests of keys, never the keys.
 
 use chervilfall_planner::AccountName;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Digest of an API key, by SHA-256.
+/// SHA-256 digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
@@ -23,15 +23,15 @@
     }
 }
 
-/// The keys in force, and whose they are.
+/// The keys in force and the accounts that they belong to.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct KeyRing {
-    /// In the order of their digests.
+    /// Sorted by digest.
     keys: Vec<(KeyDigest, AccountName)>,
 }
 
 impl KeyRing {
-    /// Returns the key ring of some keys.
+    /// Creates a key ring from digests and their accounts.
     #[must_use]
     pub fn new(keys: impl IntoIterator<Item = (KeyDigest, AccountName)>) -> Self {
         let mut keys: Vec<_> = keys.into_iter().collect();
@@ -39,8 +39,8 @@
         Self { keys }
     }
 
-    /// Returns the account that a key belongs to. Where the search for its digest ends tells nothing of other keys; whether it
-    /// is the same is found in constant time.
+    /// Returns the account that a key belongs to. The position at which the search for its digest
+    /// ends reveals nothing about other keys; equality is checked in constant time.
     #[must_use]
     pub fn account(&self, digest: KeyDigest) -> Option<&AccountName> {
         let position = self.keys.partition_point(|(known, _)| *known < digest);
--- a/crates/chervilfall_node/src/leadership.rs
+++ b/crates/chervilfall_node/src/leadership.rs
@@ -10,16 +10,16 @@
 /// Who holds the group.
 #[derive(Debug, Clone, Default)]
 pub(crate) enum Leadership {
-    /// Nobody that this node can reach.
+    /// No holder that this node can reach.
     #[default]
-    Nobody,
+    NoHolder,
     /// This node.
     Local,
-    /// A node that this one is linked to.
+    /// Another node, which this one has a link to.
     Remote(Arc<HolderLink>),
 }
 
-/// What the node knows of the holder; shared by its tasks.
+/// What this node knows about the holder; shared by its tasks.
 #[derive(Debug)]
 pub(crate) struct LeadershipState {
     sender: watch::Sender<Leadership>,
@@ -28,7 +28,7 @@
 impl LeadershipState {
     pub(crate) fn new() -> Self {
         Self {
-            sender: watch::Sender::new(Leadership::Nobody),
+            sender: watch::Sender::new(Leadership::NoHolder),
         }
     }
 
@@ -40,10 +40,13 @@
         self.sender.borrow().clone()
     }
 
-    /// Waits until `wanted` holds; returns None only while the process ends.
-    pub(crate) async fn wait_until(&self, wanted: fn(&Leadership) -> bool) -> Option<Leadership> {
+    /// Waits until `condition` holds; returns `None` only while the process ends.
+    pub(crate) async fn wait_until(
+        &self,
+        condition: fn(&Leadership) -> bool,
+    ) -> Option<Leadership> {
         let mut changes = self.sender.subscribe();
-        let found = changes.wait_for(wanted).await;
+        let found = changes.wait_for(condition).await;
         found.ok().map(|leadership| leadership.clone())
     }
 
@@ -52,14 +55,14 @@
     }
 }
 
-/// A request on its way to the planner.
+/// A request in flight to the planner, and the channel for its answer.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) answer: oneshot::Sender<Answer>,
 }
 
-/// What a holder tells of itself.
+/// State that a holder reports in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HolderHealth {
     pub(crate) term: u64,
--- a/crates/chervilfall_node/src/lib.rs
+++ b/crates/chervilfall_node/src/lib.rs
@@ -1,8 +1,8 @@
-//! A node of a fleet without machines of its own for control.
+//! A node of a cluster scheduler without dedicated control machines.
 //!
-//! Every node takes callers' requests. One of them holds the group: it runs the planner, and the
-//! others pass requests to it over links. What lasts lies in the store; a node keeps nothing.
-//! The platform's side is reached through the traits of [`ports`].
+//! Every node accepts callers' requests. One node holds the group: it runs the planner, and the
+//! others forward requests to it over links. All durable state is in the store; a node persists
+//! nothing. The platform is accessed through the traits in [`ports`].
 
 mod clock;
 mod configuration;
@@ -13,10 +13,10 @@
 mod link;
 mod load;
 mod node;
-mod patience;
 pub mod ports;
 mod routes;
 mod settings;
+mod wait_bounds;
 mod watch;
 
 pub use configuration::ConfigurationState;
@@ -24,6 +24,6 @@
 pub use keys::{KeyDigest, KeyRing};
 pub use load::{ControlLoad, LoadStatus};
 pub use node::{Node, NodeError};
-pub use patience::WaitBounds;
 pub use routes::{Route, RouteTable};
 pub use settings::{changed_fields, read_text, Settings, SettingsError, Timings};
+pub use wait_bounds::WaitBounds;
--- a/crates/chervilfall_node/src/link/follower.rs
+++ b/crates/chervilfall_node/src/link/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's side of a link.
+//! The follower's side of links.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -15,8 +15,8 @@
 
 use crate::clock::now_ms;
 use crate::front::Front;
-use crate::leadership::{Ask, HolderHealth, Leadership, LeadershipState};
-use crate::link::frames::{read, write, LinkEnd, QUEUE};
+use crate::leadership::{HolderHealth, Leadership, LeadershipState, PendingRequest};
+use crate::link::frames::{read, write, LinkEnd, QUEUE_CAPACITY};
 use crate::link::message::{ToFollower, ToHolder};
 use crate::ports::Advisor;
 use crate::settings::Settings;
@@ -30,12 +30,12 @@
 }
 
 impl HolderLink {
-    /// Sends a request; returns false if the link cannot take it, in which case it was not sent.
-    pub(crate) fn ask(&self, ask: Ask) -> bool {
+    /// Queues a request; returns false if the link cannot accept it, in which case it was not sent.
+    pub(crate) fn send_request(&self, pending: PendingRequest) -> bool {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.insert(number, ask.answer);
-        let request = Box::new(ask.request);
+        waiting.insert(number, pending.answer);
+        let request = Box::new(pending.request);
         if self
             .queue
             .try_send(ToHolder::Request { number, request })
@@ -47,13 +47,14 @@
         false
     }
 
-    /// Tells of starts that could not be stored; returns false if the link cannot take that.
-    pub(crate) fn tell_unstored(&self, starts: &[StartNote]) -> bool {
+    /// Sends the starts that could not be stored; returns false if the link cannot accept them.
+    pub(crate) fn send_unstored_starts(&self, starts: &[StartNote]) -> bool {
         let message = ToHolder::UnstoredStarts(starts.to_vec());
         self.queue.try_send(message).is_ok()
     }
 
-    /// Asks for the configuration that the holder has in force; a link that cannot take that is given up anyway.
+    /// Asks for the configuration that the holder has in force. Failure is ignored: a link that
+    /// cannot accept messages is closed anyway.
     pub(crate) fn ask_configuration(&self, known: Option<u64>) {
         let asked_ms = now_ms();
         drop(
@@ -82,15 +83,15 @@
     /// Nothing listens at the address: the process is gone.
     #[error("connection refused")]
     Refused,
-    /// No connection came about.
+    /// No connection was established.
     #[error("no connection: {0}")]
     Failed(String),
-    /// The link worked, and has ended.
+    /// The link was established and has ended.
     #[error("{0}")]
     Ended(LinkEnd),
 }
 
-/// Links to the holder and serves the link until it ends.
+/// Opens a link to the holder and serves it until it ends.
 pub(crate) async fn dial<A: Advisor>(
     address: SocketAddr,
     settings: &Settings,
@@ -108,7 +109,7 @@
         Err(_) => return DialError::Failed("timed out".to_owned()),
     };
     let (sink, mut stream) = socket.split();
-    let (queue, receiver) = mpsc::channel(QUEUE);
+    let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let link = Arc::new(HolderLink {
         queue,
         waiting: Mutex::new(HashMap::new()),
@@ -118,7 +119,7 @@
         node: settings.node.clone(),
         cpu_permille: settings.cpu_permille(),
     };
-    // The queue is new and empty.
+    // The queue is new and empty, so this does not fail.
     drop(link.queue.try_send(hello));
     let writer = write(sink, receiver, silence);
     let beats = heartbeats(link.queue.clone(), timings.heartbeat_ms);
@@ -126,7 +127,7 @@
         loop {
             match read::<ToFollower>(&mut stream, silence).await {
                 Ok(message) => {
-                    if !take(message, &link, front, leadership, advisor) {
+                    if !handle_message(message, &link, front, leadership, advisor) {
                         return LinkEnd::Closed;
                     }
                 }
@@ -141,7 +142,7 @@
     };
     if let Leadership::Remote(current) = leadership.current() {
         if Arc::ptr_eq(&current, &link) {
-            leadership.set(Leadership::Nobody);
+            leadership.set(Leadership::NoHolder);
         }
     }
     link.drop_waiting();
@@ -175,8 +176,8 @@
     }
 }
 
-/// Takes a message; returns false if the peer is no holder.
-fn take<A: Advisor>(
+/// Handles a message; returns false if the peer is not the holder.
+fn handle_message<A: Advisor>(
     message: ToFollower,
     link: &Arc<HolderLink>,
     front: &Arc<Front>,
@@ -190,23 +191,25 @@
             configuration,
         } => {
             front.set_claim_age(claim_age_ms);
-            front.configuration().heard_of(configuration);
+            front.configuration().note_remote_version(configuration);
             let health = HolderHealth { term, claim_age_ms };
-            follow(link, leadership, health);
+            mark_holder_found(link, leadership, health);
         }
         ToFollower::Recovering => {}
         ToFollower::Configuration {
             asked_ms,
             age_ms,
             table,
-        } => front.configuration().told(asked_ms, age_ms, table),
+        } => front
+            .configuration()
+            .apply_from_holder(asked_ms, age_ms, table),
         ToFollower::Reply { number, answer } => link.answer(number, answer),
         ToFollower::Advise(order) => {
             let (advisor, link) = (advisor.clone(), Arc::clone(link));
             tokio::spawn(async move {
                 let number = order.number;
                 let answer = advisor.advise(order).await;
-                // A link that has ended is seen by its reader.
+                // The link's reader notices if the link has ended.
                 drop(link.queue.try_send(ToHolder::Advised { number, answer }));
             });
         }
@@ -215,9 +218,13 @@
     true
 }
 
-fn follow(link: &Arc<HolderLink>, leadership: &Arc<LeadershipState>, health: HolderHealth) {
+fn mark_holder_found(
+    link: &Arc<HolderLink>,
+    leadership: &Arc<LeadershipState>,
+    health: HolderHealth,
+) {
     let current = leadership.current();
-    if matches!(current, Leadership::Nobody) {
+    if matches!(current, Leadership::NoHolder) {
         log::info!(term = health.term, claim_age_ms = health.claim_age_ms; "holder found");
         leadership.set(Leadership::Remote(Arc::clone(link)));
     }
--- a/crates/chervilfall_node/src/link/frames.rs
+++ b/crates/chervilfall_node/src/link/frames.rs
@@ -1,4 +1,4 @@
-//! CBOR messages on a WebSocket, with bounded time for each write.
+//! CBOR messages over a WebSocket, with a time limit for each write.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 /// A link's socket.
 pub(super) type Socket = WebSocketStream<TcpStream>;
 
-/// Messages that may wait to be written; a peer that is this far behind is given up.
-pub(super) const QUEUE: usize = 4_096;
+/// Capacity of a link's send queue; a peer that is this far behind is given up.
+pub(super) const QUEUE_CAPACITY: usize = 4_096;
 
 /// Why a link has ended.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -24,7 +24,7 @@
     /// The peer closed it.
     #[error("peer closed the link")]
     Closed,
-    /// Nothing came for too long.
+    /// No message arrived for too long.
     #[error("peer is silent")]
     Silent,
     /// The peer does not read.
@@ -33,12 +33,12 @@
     /// The connection broke.
     #[error("connection broke: {0}")]
     Broken(String),
-    /// A message cannot be read.
+    /// A message cannot be encoded or decoded.
     #[error("message cannot be read: {0}")]
     Malformed(String),
 }
 
-/// Reads the next message; nothing for `silence` ends the link.
+/// Reads the next message; the link ends if none arrives within `silence`.
 pub(super) async fn read<T: DeserializeOwned>(
     stream: &mut SplitStream<Socket>,
     silence: Duration,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Writes messages as they come.
+/// Writes queued messages until the link ends.
 pub(super) async fn write<T: Serialize>(
     mut sink: SplitSink<Socket, Message>,
     mut queue: mpsc::Receiver<T>,
--- a/crates/chervilfall_node/src/link/holder.rs
+++ b/crates/chervilfall_node/src/link/holder.rs
@@ -11,24 +11,24 @@
 
 use crate::clock::now_ms;
 use crate::control::ControlEvent;
-use crate::link::frames::{read, write, LinkEnd, QUEUE};
+use crate::link::frames::{read, write, LinkEnd, QUEUE_CAPACITY};
 use crate::link::message::{ToFollower, ToHolder};
 use crate::settings::Timings;
 
-/// A link to a follower, as the control thread uses it.
+/// The control thread's handle of a link to a follower.
 #[derive(Debug)]
 pub(crate) struct FollowerLink {
     pub(crate) queue: mpsc::Sender<ToFollower>,
-    /// Processor that the follower may use, in thousandths of a core.
+    /// CPU that the follower may use, in thousandths of a core.
     pub(crate) cpu_permille: u64,
-    /// When the link came about.
+    /// When the link was established.
     pub(crate) since_ms: u64,
 }
 
-/// Numbers of links; 0 is the node itself.
+/// Number of the next link; 0 is the node itself.
 static NEXT_LINK: AtomicU32 = AtomicU32::new(1);
 
-/// Takes links for as long as the process lives.
+/// Accepts links until the process ends.
 pub(crate) async fn accept_links(
     listener: TcpListener,
     timings: Timings,
@@ -45,7 +45,7 @@
                 });
             }
             Err(error) => {
-                log::warn!(error:% = error; "can't take a link");
+                log::warn!(error:% = error; "can't accept a link");
                 tokio::time::sleep(Duration::from_millis(timings.heartbeat_ms)).await;
             }
         }
@@ -73,7 +73,7 @@
         ));
     };
     let id: NodeId = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
-    let (queue, receiver) = mpsc::channel(QUEUE);
+    let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let link = FollowerLink {
         queue,
         cpu_permille,
@@ -96,7 +96,7 @@
                 },
                 ToHolder::Advised { number, answer } => ControlEvent::Advised { number, answer },
                 ToHolder::ConfigurationWanted { known, asked_ms } => {
-                    ControlEvent::ConfigurationWanted {
+                    ControlEvent::ConfigurationRequest {
                         id,
                         known,
                         asked_ms,
@@ -113,7 +113,7 @@
         end = write(sink, receiver, silence) => end,
         end = reader => end,
     };
-    // The control thread ends with the process only.
+    // The control thread runs until the process ends, so the send does not fail.
     drop(control.send(ControlEvent::LinkDown { id }).await);
     Err(end)
 }
--- a/crates/chervilfall_node/src/link/message.rs
+++ b/crates/chervilfall_node/src/link/message.rs
@@ -10,11 +10,11 @@
 /// From a follower to the holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ToHolder {
-    /// Says who speaks; the first message.
+    /// Identifies the follower; the first message on a link.
     Hello {
         /// Name of the node.
         node: String,
-        /// Processor that it may use, in thousandths of a core.
+        /// CPU that it may use, in thousandths of a core.
         #[serde(default)]
         cpu_permille: u64,
     },
@@ -32,15 +32,15 @@
         /// The answer.
         answer: AdviceAnswer,
     },
-    /// What the follower has started as an earlier holder and could not store.
+    /// Starts that the follower made as an earlier holder and could not store.
     UnstoredStarts(Vec<StartNote>),
-    /// The link is alive.
+    /// Shows that the link is alive.
     Heartbeat,
     /// Asks for the configuration that the holder has in force.
     ConfigurationWanted {
         /// Version that the follower has in force, if it has one.
         known: Option<u64>,
-        /// When this was asked, by the follower's clock; the answer repeats it.
+        /// When this was sent, by the follower's clock; the answer repeats it.
         asked_ms: Millis,
     },
 }
@@ -48,7 +48,7 @@
 /// From the holder to a follower.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ToFollower {
-    /// The link is alive, and how the holder stands.
+    /// Shows that the link is alive, and reports the holder's state.
     Heartbeat {
         /// Term of its claim.
         term: u64,
@@ -58,13 +58,14 @@
         #[serde(default)]
         configuration: Option<u64>,
     },
-    /// The sender reads the rows of the group that it has claimed; the link waits until it holds it.
+    /// The sender has claimed the group and is reading its rows; the link stays open until it takes
+    /// over.
     Recovering,
     /// Configuration that the holder has in force.
     Configuration {
-        /// When it was asked for, by the follower's clock.
+        /// When it was requested, by the follower's clock.
         asked_ms: Millis,
-        /// How long ago it was known to be the newest.
+        /// Time since it was last known to be the newest.
         age_ms: Millis,
         /// The configuration, if it is newer than the follower's.
         table: Option<Arc<RouteTable>>,
@@ -76,7 +77,7 @@
         /// The answer.
         answer: Answer,
     },
-    /// Asks to call the advice service.
+    /// Asks the follower to call the advice service.
     Advise(AdviceOrder),
     /// The sender does not hold the group.
     NotHolder,
--- a/crates/chervilfall_node/src/link/mod.rs
+++ b/crates/chervilfall_node/src/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links from followers to the holder: one WebSocket each, CBOR in its messages.
+//! Links from followers to the holder: one WebSocket each, with CBOR messages.
 
 mod follower;
 mod frames;
--- a/crates/chervilfall_node/src/load.rs
+++ b/crates/chervilfall_node/src/load.rs
@@ -1,31 +1,32 @@
-//! How busy the control thread is: its share of time, its queue, and how old events are when it takes them.
+//! Load of the control thread: its share of busy time, its queue, and the age of events when they
+//! are handled.
 //!
-//! One thread plans for a whole group of endpoints. When it falls behind, every answer and every start is late, so
-//! that operators need to see how near it is to its limit before callers do.
+//! One thread plans for a whole group of endpoints. When it falls behind, every answer and every
+//! start is late, so operators need to see how close it is to its limit before callers notice.
 
 use std::time::{Duration, Instant};
 
 use chervilfall_kernel::Work;
 
-/// Time between status lines.
-const STATUS: Duration = Duration::from_secs(1);
+/// Interval between status lines.
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a status line says of the time since the one before.
+/// Content of a status line: the load since the previous one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadStatus {
-    /// Part of the time that the thread worked, in percent.
+    /// Share of time that the thread was busy, in percent.
     pub busy_percent: u64,
-    /// Events that it handled.
+    /// Number of events that it handled.
     pub events: u64,
-    /// Most events that waited.
+    /// Highest number of queued events.
     pub most_waiting: usize,
-    /// Greatest age of a probe when it was taken from the queue, in milliseconds.
-    pub oldest_ms: u64,
-    /// Longest time that it worked at a stretch, in milliseconds.
-    pub longest_ms: u64,
+    /// Highest age of a probe when it was taken from the queue, in milliseconds.
+    pub max_queue_age_ms: u64,
+    /// Longest uninterrupted stretch of work, in milliseconds.
+    pub max_stretch_ms: u64,
 }
 
-/// Adds up what the control thread works off.
+/// Sums up the control thread's work between status lines.
 #[derive(Debug)]
 pub struct ControlLoad {
     since: Instant,
@@ -37,7 +38,7 @@
 }
 
 impl ControlLoad {
-    /// Begins to count at `now`.
+    /// Starts counting at `now`.
     #[must_use]
     pub const fn new(now: Instant) -> Self {
         Self {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Counts work.
+    /// Adds a stretch of work.
     pub fn add(&mut self, work: Work) {
         self.busy += work.took;
         self.longest = self.longest.max(work.took);
@@ -58,16 +59,16 @@
         self.most_waiting = self.most_waiting.max(work.waiting);
     }
 
-    /// Notes that a probe was taken from the queue that had waited for `age`.
-    pub fn probed(&mut self, age: Duration) {
+    /// Records that a probe waited in the queue for `age`.
+    pub fn record_queue_age(&mut self, age: Duration) {
         self.oldest = self.oldest.max(age);
         metrics::histogram!("chervilfall_control_queue_seconds").record(age.as_secs_f64());
     }
 
-    /// Returns the status and begins anew, once a second.
+    /// Returns the status and starts over, once a second.
     pub fn status(&mut self, now: Instant) -> Option<LoadStatus> {
         let passed = now.saturating_duration_since(self.since);
-        if passed < STATUS {
+        if passed < STATUS_INTERVAL {
             return None;
         }
         let busy_ratio = self.busy.as_secs_f64() / passed.as_secs_f64();
@@ -77,8 +78,8 @@
             busy_percent: percent(busy_ratio),
             events: self.events,
             most_waiting: self.most_waiting,
-            oldest_ms: millis(self.oldest),
-            longest_ms: millis(self.longest),
+            max_queue_age_ms: millis(self.oldest),
+            max_stretch_ms: millis(self.longest),
         };
         *self = Self::new(now);
         Some(status)
--- a/crates/chervilfall_node/src/node.rs
+++ b/crates/chervilfall_node/src/node.rs
@@ -1,4 +1,4 @@
-//! Opens and stops a node.
+//! Starts and stops a node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,27 +19,27 @@
 use crate::settings::Settings;
 use crate::watch;
 
-/// Events that may wait for the control thread.
-const CONTROL_QUEUE: usize = 16_384;
-/// The only group: small fleets have one.
+/// Capacity of the control thread's event queue.
+const CONTROL_QUEUE_CAPACITY: usize = 16_384;
+/// Name of the only group; small fleets have one.
 const GROUP: &str = "group-0";
 
 /// Why a node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The address for links is not free.
+    /// The link address cannot be bound.
     #[error("can't listen for links on {address}: {cause}")]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         cause: std::io::Error,
     },
     /// The control thread cannot start.
     #[error(transparent)]
     Control(#[from] ControlThreadError),
-    /// Signals cannot be taken.
-    #[error("can't take signals: {0}")]
+    /// Signal handlers cannot be installed.
+    #[error("can't install signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
@@ -53,11 +53,11 @@
 }
 
 impl Node {
-    /// Opens a node on a platform.
+    /// Starts a node on a platform.
     ///
     /// # Errors
     ///
-    /// Returns an error if the address for links is taken or the control thread can't start.
+    /// Returns an error if the link address is in use or the control thread can't start.
     pub async fn open<P: Platform>(settings: Settings, platform: P) -> Result<Self, NodeError> {
         let address = settings.link_listen;
         let listener = TcpListener::bind(address)
@@ -65,7 +65,7 @@
             .map_err(|cause| NodeError::Listen { address, cause })?;
         let settings = Arc::new(settings);
         let timings = settings.timings.clone();
-        let (control, receiver) = mpsc::channel(CONTROL_QUEUE);
+        let (control, receiver) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
         let leadership = Arc::new(LeadershipState::new());
         let configuration = Arc::new(ConfigurationState::new(settings.config_apply_ms));
         let front = Arc::new(Front::new(
@@ -86,7 +86,7 @@
             policies: settings.policies,
             ..Limits::default()
         };
-        let loop_ = Control::new(
+        let control_loop = Control::new(
             platform.clone(),
             GROUP.to_owned(),
             limits,
@@ -98,7 +98,7 @@
             control.clone(),
             Handle::current(),
         );
-        let thread = ControlThread::spawn(receiver, timings.tick_ms, loop_)?;
+        let thread = ControlThread::spawn(receiver, timings.tick_ms, control_loop)?;
         tokio::spawn(accept_links(listener, timings.clone(), control.clone()));
         tokio::spawn(watch::configuration::watch(
             platform.store().clone(),
@@ -120,7 +120,7 @@
             front: Arc::clone(&front),
             leadership,
             control: control.clone(),
-            kept: None,
+            retained: None,
         };
         tokio::spawn(claim.run());
         Ok(Self {
@@ -131,19 +131,20 @@
         })
     }
 
-    /// Returns what takes callers' requests.
+    /// Returns the front, which handles callers' requests.
     #[must_use]
     pub const fn front(&self) -> &Arc<Front> {
         &self.front
     }
 
-    /// Waits for the signal that begins a planned stop, hands the group back, and goes on to serve
-    /// until callers had time to go elsewhere. `hung_up` is called when the settings may have changed.
+    /// Waits for the signal that begins a planned stop, releases the group, and keeps serving for
+    /// the linger time so that callers can move to other nodes. Calls `on_hangup` on SIGHUP, when
+    /// the settings may have changed.
     ///
     /// # Errors
     ///
-    /// Returns an error if signals can't be taken.
-    pub async fn until_stopped(&self, hung_up: impl Fn()) -> Result<(), NodeError> {
+    /// Returns an error if the signal handlers can't be installed.
+    pub async fn run_until_stopped(&self, on_hangup: impl Fn()) -> Result<(), NodeError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(NodeError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
@@ -151,12 +152,12 @@
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                _ = hangup.recv() => hung_up(),
+                _ = hangup.recv() => on_hangup(),
             }
         }
         log::info!("planned stop begins");
         self.front.begin_stop();
-        // The control thread ends with the process only.
+        // The control thread runs until the process ends, so the send does not fail.
         drop(self.control.send(ControlEvent::Release).await);
         tokio::time::sleep(Duration::from_millis(self.settings.timings.linger_ms)).await;
         log::info!("planned stop ends");
--- a/crates/chervilfall_node/src/ports.rs
+++ b/crates/chervilfall_node/src/ports.rs
@@ -1,4 +1,4 @@
-//! What a node needs of the platform that it runs on.
+//! Interfaces to the platform that a node runs on.
 
 use std::future::Future;
 
@@ -20,25 +20,25 @@
     pub version: RowVersion,
 }
 
-/// Some rows of a table, in the order of their keys.
+/// A page of a table's rows, in key order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
     /// The rows.
     pub rows: Vec<Row>,
-    /// There are more behind them.
+    /// More rows follow.
     pub more: bool,
 }
 
-/// The store, the list of endpoints and the configuration cannot be read.
+/// Why the store, the list of endpoints or the configuration cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreError {
     /// The store refused the call.
     #[error("store refused with status {0}")]
     Refused(u16),
-    /// No answer came in time, or the connection broke.
+    /// No answer arrived in time, or the connection broke.
     #[error("store did not answer: {0}")]
     Unanswered(String),
-    /// The answer makes no sense.
+    /// The answer cannot be decoded.
     #[error("store's answer cannot be read: {0}")]
     Malformed(String),
 }
@@ -52,35 +52,35 @@
     pub entries: Vec<EndpointEntry>,
 }
 
-/// What a reading of the configuration shows.
+/// Result of reading the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigurationReading {
-    /// There is none.
+    /// There is no configuration.
     Absent,
-    /// The row is the one that is known.
+    /// The row has the version that is known.
     Unchanged,
-    /// Another row.
+    /// The row has another version.
     Changed {
         /// Version of the row.
         version: RowVersion,
-        /// What it says.
+        /// Its content.
         table: RouteTable,
     },
-    /// Another row, which cannot be read whole.
+    /// The row has another version and cannot be decoded completely.
     Unreadable {
         /// Version of the row.
         version: RowVersion,
-        /// What cannot be read, with the field's path.
+        /// What cannot be decoded, with the field's path.
         error: String,
     },
 }
 
 /// The platform's store.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Writes a batch in a group's part, if the claim row has the version expected.
+    /// Writes a batch to a group's tables if the claim row has the expected version.
     fn commit(&self, group: &str, batch: Batch) -> impl Future<Output = CommitOutcome> + Send;
 
-    /// Reads rows of a table in a group's part: those behind a key, or the first, at most `most`.
+    /// Reads at most `most` rows of a group's table: those after a key, or the first ones.
     fn read_page(
         &self,
         group: &str,
@@ -97,8 +97,8 @@
         key: &str,
     ) -> impl Future<Output = Result<(Option<Row>, Millis), StoreError>> + Send;
 
-    /// Reads the claim row of a group, and the store's steady clock. A reading beside one that is not answered goes over
-    /// another connection.
+    /// Reads the claim row of a group, and the store's steady clock. A call made while another is
+    /// unanswered uses a different connection.
     fn read_claim(
         &self,
         group: &str,
@@ -114,7 +114,7 @@
     ) -> impl Future<Output = Result<ConfigurationReading, StoreError>> + Send;
 }
 
-/// Orders to endpoints.
+/// Sends orders to endpoints.
 pub trait Endpoints: Clone + Send + Sync + 'static {
     /// Starts a run.
     fn start(&self, order: StartOrder) -> impl Future<Output = StartAnswer> + Send;
@@ -122,7 +122,7 @@
     /// Stops a run.
     fn stop(&self, order: StopOrder) -> impl Future<Output = StopAnswer> + Send;
 
-    /// Extends leases and reads lists.
+    /// Extends an endpoint's leases and reads its lists.
     fn hold(&self, order: HoldOrder) -> impl Future<Output = HoldAnswer> + Send;
 }
 
@@ -132,7 +132,7 @@
     fn advise(&self, order: AdviceOrder) -> impl Future<Output = AdviceAnswer> + Send;
 }
 
-/// Everything that a node needs of its platform.
+/// Everything that a node needs from its platform.
 pub trait Platform: Clone + Send + Sync + 'static {
     /// Its store.
     type Store: Store;
--- a/crates/chervilfall_node/src/routes.rs
+++ b/crates/chervilfall_node/src/routes.rs
@@ -1,14 +1,14 @@
-//! Which queue a request is for.
+//! Routes of requests to queues.
 
 use chervilfall_planner::{Account, Configuration, Queue, Service};
 use serde::{Deserialize, Serialize};
 
 use crate::keys::KeyRing;
 
-/// A queue and the requests that are for it.
+/// A queue and the requests that are routed to it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Host that callers name, in lower case and without a port.
+    /// Host that requests name, in lower case and without a port.
     pub host: String,
     /// Prefix of the path.
     pub path_prefix: String,
@@ -22,7 +22,7 @@
 /// The configuration in force, as a node needs it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
-    /// Version that the operator gave it.
+    /// Version, assigned by the operator.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
@@ -34,7 +34,7 @@
     /// Their keys.
     #[serde(default)]
     pub keys: KeyRing,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: u64,
 }
 
@@ -50,7 +50,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Returns what a planner needs of it.
+    /// Returns the part that a planner needs.
     #[must_use]
     pub fn configuration(&self) -> Configuration {
         let queues = self.routes.iter().map(|route| route.queue.clone());
--- a/crates/chervilfall_node/src/settings.rs
+++ b/crates/chervilfall_node/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node, as YAML says them.
+//! Settings of a node, in YAML.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use chervilfall_planner::Policies;
 use serde::Deserialize;
 
-/// Time that a start takes to its endpoint at most, if it is not held up.
-const START_WAY_MS: u64 = 200;
+/// Longest time that a start takes to reach its endpoint, unless it is delayed.
+const START_TRANSIT_MS: u64 = 200;
 
-/// Why settings are refused.
+/// Why settings are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -18,7 +18,7 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The operating system's error.
         cause: std::io::Error,
     },
     /// A field is wrong.
@@ -33,46 +33,49 @@
     },
 }
 
-/// Timings and bounds of a node, with the origin of each default.
+/// Timings and limits of a node, with the reasons for the defaults.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timings {
-    /// Time between messages that show a link to be alive.
+    /// Interval between heartbeats on a link.
     pub heartbeat_ms: u64,
-    /// Silence after which a link counts as broken: four heartbeats and a pause of the process. Connections
-    /// can go silent for good while new ones work.
+    /// Time without messages after which a link counts as broken: four heartbeats and a pause of
+    /// the process. Connections can go silent permanently while new ones work.
     pub silence_ms: u64,
-    /// Time to connect to the holder.
+    /// Time limit for connecting to the holder.
     pub connect_ms: u64,
-    /// Claim that was not confirmed for this long, by what the holder says, makes followers look at the claim
-    /// row: a renewal and a heartbeat more than usual.
+    /// Followers check the claim row if the holder reports that its claim was not confirmed for
+    /// this long: a renewal and a heartbeat more than usual.
     pub stale_ms: u64,
-    /// The claim row must stand still this long before it is claimed, while the holder has not said how long.
+    /// The claim row must stay unchanged for this long before the group is claimed, unless the
+    /// holder has stated another time.
     pub stall_ms: u64,
-    /// The same, when the holder's machine refuses connections: its process is gone.
+    /// The same, if the holder's machine refuses connections, which means that its process is gone.
     pub refused_stall_ms: u64,
-    /// Claim that was not confirmed for this long makes a node say that it is not ready: longer than a takeover
-    /// takes, so that callers of a domain that is cut off are sent to others within two seconds.
+    /// A node reports that it is not ready if the claim was not confirmed for this long: longer
+    /// than a takeover takes, so that callers of a domain that is cut off are sent to others within
+    /// two seconds.
     pub ready_age_ms: u64,
-    /// Time between readings of the claim row while no holder works.
+    /// Interval between readings of the claim row while there is no working holder.
     pub claim_poll_ms: u64,
-    /// Time between readings of the list of endpoints by the holder.
+    /// Interval between the holder's readings of the list of endpoints.
     pub endpoints_poll_ms: u64,
-    /// How long a request that submits nothing waits for a holder before it is refused.
+    /// How long a request that is not a submission waits for a holder before it is refused.
     pub holder_wait_ms: u64,
-    /// How long a node that reaches neither a holder nor the store lets requests wait before it refuses them at
-    /// once: as long as a takeover takes.
+    /// How long a node that reaches neither a holder nor the store lets requests wait before it
+    /// refuses them immediately: as long as a takeover takes.
     pub isolated_wait_ms: u64,
-    /// How long a request for an unknown queue waits for the configuration to be confirmed, if it was not for too long.
+    /// How long a request for an unknown queue waits for the configuration to be confirmed, if the
+    /// last confirmation is too old.
     pub configuration_wait_ms: u64,
     /// How long a request waits for the holder's answer.
     pub answer_wait_ms: u64,
-    /// Time between ticks of the planner.
+    /// Interval between ticks of the planner.
     pub tick_ms: u64,
-    /// After a planned stop began: how long the node goes on to serve while callers are sent to
+    /// How long the node keeps serving after a planned stop has begun, while callers are sent to
     /// other nodes.
     pub linger_ms: u64,
-    /// Bound of a planned stop.
+    /// Time limit for a planned stop.
     pub stop_ms: u64,
 }
 
@@ -111,8 +114,9 @@
     2_000
 }
 
-/// Shortest time in which a configuration can be in force: readings that come so often burden the store.
-const LEAST_APPLY_MS: u64 = 500;
+/// Minimum of `config_apply_ms`: a shorter time needs readings so frequent that they burden the
+/// store.
+const MIN_CONFIG_APPLY_MS: u64 = 500;
 
 const fn drain_ms() -> u64 {
     2_000
@@ -130,13 +134,13 @@
     pub node: String,
     /// Failure domain.
     pub domain: String,
-    /// Address that takes callers' requests.
+    /// Address for callers' requests.
     pub listen: SocketAddr,
-    /// Address that tells whether the node is ready.
+    /// Address that reports whether the node is ready.
     pub ready_listen: SocketAddr,
-    /// Address that takes links of other nodes.
+    /// Address for links from other nodes.
     pub link_listen: SocketAddr,
-    /// Address that serves metrics; none for no such listener.
+    /// Address that serves metrics; no listener if absent.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddr>,
     /// Address of the store.
@@ -144,33 +148,34 @@
     /// Address of the advice service.
     #[serde(default)]
     pub advice: Option<SocketAddr>,
-    /// Processor that the node may use, in cores: nodes with more hold the group first.
+    /// CPU that the node may use, in cores: nodes with more are preferred as holders.
     #[serde(default = "one")]
     pub cpu_cores: f64,
     /// Longest lease that endpoints grant.
     pub lease_max_ms: u64,
-    /// Time between an endpoint's reports of itself.
+    /// Interval between an endpoint's status reports.
     #[serde(default = "report_ms")]
     pub report_ms: u64,
-    /// Time in which starts must follow an endpoint's report that its capacity has shrunk.
+    /// Time within which starts must respect an endpoint's report that its capacity has shrunk.
     #[serde(default = "capacity_notice_ms")]
     pub capacity_notice_ms: u64,
-    /// Time from a configuration's acknowledgement in which it must be in force at every node.
+    /// Time after a configuration's acknowledgement within which it must be in force at every node.
     #[serde(default = "config_apply_ms")]
     pub config_apply_ms: u64,
-    /// Time from the acknowledgement of a configuration after which no call runs with a key that it has taken away. Set where
-    /// calls need keys of client accounts.
+    /// Time after a configuration's acknowledgement from which no call runs with a key that it has
+    /// revoked. Set if calls need keys of client accounts.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// This holds for nodes that cannot read the configuration too: they turn calls away then.
+    /// Whether `revoke_ms` also holds for nodes that cannot read the configuration: they then
+    /// reject calls.
     #[serde(default)]
     pub strict_revoke: bool,
-    /// Time from an endpoint's report that it is leaving after which it gets no starts.
+    /// Time after an endpoint's report that it is leaving from which it gets no starts.
     #[serde(default = "drain_ms")]
     pub drain_ms: u64,
-    /// How long a finished job can be asked for, in seconds.
+    /// How long a finished job can be queried, in seconds.
     pub status_s: u64,
-    /// Most bytes of a row.
+    /// Maximum size of a row, in bytes.
     pub row_bytes: usize,
     /// Timings.
     #[serde(default)]
@@ -181,23 +186,24 @@
 }
 
 impl Settings {
-    /// Returns how long an endpoint that does not report anew may be given starts: the time in which these must follow
-    /// a report, and one report's, less a reading of the list and the way of a start.
+    /// Returns how long an endpoint may be given starts after its last report: the time within
+    /// which starts must respect a report plus one report interval, less one reading of the list
+    /// and the transit of a start.
     #[must_use]
     pub const fn report_age_ms(&self) -> u64 {
         let followed_ms = self.capacity_notice_ms + self.report_ms;
-        followed_ms.saturating_sub(self.timings.endpoints_poll_ms + START_WAY_MS)
+        followed_ms.saturating_sub(self.timings.endpoints_poll_ms + START_TRANSIT_MS)
     }
 
-    /// Returns the processor that the node may use, in thousandths of a core.
+    /// Returns the CPU that the node may use, in thousandths of a core.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn cpu_permille(&self) -> u64 {
-        // The check of the settings keeps it between a thousandth and many cores.
+        // `parse` accepts only values between 0.001 and 1000.
         (self.cpu_cores * 1_000.0) as u64
     }
 
-    /// Reads settings from a text; `name` stands in errors.
+    /// Parses settings; `name` identifies the text in errors.
     ///
     /// # Errors
     ///
@@ -220,8 +226,8 @@
                 "must be between 0.001 and 1000".to_owned(),
             ));
         }
-        if settings.config_apply_ms < LEAST_APPLY_MS {
-            let cause = format!("must be at least {LEAST_APPLY_MS}");
+        if settings.config_apply_ms < MIN_CONFIG_APPLY_MS {
+            let cause = format!("must be at least {MIN_CONFIG_APPLY_MS}");
             return Err(field("config_apply_ms".to_owned(), cause));
         }
         if settings
@@ -263,7 +269,7 @@
     }
 }
 
-/// Returns the text of a file with settings.
+/// Returns the text of a settings file.
 ///
 /// # Errors
 ///
@@ -279,7 +285,7 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a text is not YAML; `name` stands in it.
+/// Returns an error that contains `name` if a text is not YAML.
 pub fn changed_fields(name: &str, before: &str, after: &str) -> Result<Vec<String>, SettingsError> {
     let before = fields(name, before)?;
     let after = fields(name, after)?;
--- a/crates/chervilfall_node/src/watch/claim.rs
+++ b/crates/chervilfall_node/src/watch/claim.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use chervilfall_planner::{
-    Batch, Candidate, CandidateMove, CommitOutcome, HolderRow, Identity, RowVersion, Stall,
+    Batch, Candidate, CandidateAction, CommitOutcome, HolderRow, Identity, RowVersion,
+    StallTimeouts,
 };
 use rand::Rng;
 use tokio::sync::{mpsc, oneshot};
@@ -18,28 +19,29 @@
 use crate::link::{dial, DialError};
 use crate::ports::{Platform, Row, Store, StoreError};
 use crate::settings::Settings;
-use crate::watch::takeover::KeptRows;
-use crate::watch::Dependency;
+use crate::watch::takeover::RetainedRows;
+use crate::watch::DependencyStatus;
 
-/// Spread of the looks at the claim row.
-const LOOK_JITTER_MS: u64 = 30;
-/// Commits of a holder that a slow store may take while the claim row stands still.
+/// Maximum random delay between checks of the claim row.
+const POLL_JITTER_MS: u64 = 30;
+/// Number of commits of a holder, each as slow as the last reading, that the claim row may stay
+/// unchanged for.
 const SLOW_STORE_FACTOR: u64 = 3;
-/// A reading of the claim row, or a claim, that is not answered for this long is joined by another.
-const ASK_AGAIN_MS: u64 = 150;
-/// Shortest pause before a holder is dialled again that does not serve yet.
-const DIAL_AGAIN_MS: u64 = 20;
+/// A reading of the claim row, or a claim, that is not answered for this long is sent again.
+const HEDGE_DELAY_MS: u64 = 150;
+/// Shortest pause before dialing again a holder that does not serve yet.
+const MIN_REDIAL_PAUSE_MS: u64 = 20;
 /// Longest such pause.
-const DIAL_AGAIN_MOST_MS: u64 = 400;
+const MAX_REDIAL_PAUSE_MS: u64 = 400;
 
-struct Dialing {
+struct HolderConnection {
     row: HolderRow,
     task: JoinHandle<()>,
-    /// Why there is no link, or none any more.
+    /// Why there is no link, or no longer one.
     end: oneshot::Receiver<DialError>,
 }
 
-/// Links to one holder that have failed in a row.
+/// Consecutive failures of links to one holder.
 #[derive(Debug, Default)]
 struct LinkFailures {
     /// Term of the holder.
@@ -49,15 +51,16 @@
 }
 
 impl LinkFailures {
-    /// Notes a failure, and says so if it is another one than the last; returns the pause before the next try.
+    /// Records a failure, and logs it if it differs from the last one; returns the pause before the
+    /// next attempt.
     fn note(&mut self, holder: &HolderRow, error: &DialError) -> u64 {
         if self.term != holder.term || self.error.as_ref() != Some(error) {
             log::info!(holder = holder.node.as_str(), term = holder.term, error:% = error; "no link to the holder");
         }
         self.pause_ms = if self.term == holder.term {
-            (self.pause_ms * 2).min(DIAL_AGAIN_MOST_MS)
+            (self.pause_ms * 2).min(MAX_REDIAL_PAUSE_MS)
         } else {
-            DIAL_AGAIN_MS
+            MIN_REDIAL_PAUSE_MS
         };
         self.term = holder.term;
         self.error = Some(error.clone());
@@ -82,11 +85,12 @@
     pub(crate) leadership: Arc<LeadershipState>,
     pub(crate) control: mpsc::Sender<ControlEvent>,
     /// Rows that were read under a claim which was handed back.
-    pub(crate) kept: Option<KeptRows>,
+    pub(crate) retained: Option<RetainedRows>,
 }
 
 impl<P: Platform> ClaimWatch<P> {
-    /// Runs until a planned stop begins, and goes on to follow the next holder then.
+    /// Follows holders and claims the group if there is none; after a planned stop has begun, only
+    /// follows.
     pub(crate) async fn run(mut self) {
         let mut candidate = Candidate::new(Identity {
             node: self.settings.node.clone(),
@@ -96,74 +100,77 @@
             started_ms: 0,
             cpu_permille: self.settings.cpu_permille(),
         });
-        let mut dependency = Dependency::new("claim row");
-        let mut dialing: Option<Dialing> = None;
+        let mut dependency = DependencyStatus::new("claim row");
+        let mut connection: Option<HolderConnection> = None;
         let mut failures = LinkFailures::default();
         let poll_ms = self.settings.timings.claim_poll_ms;
         loop {
-            let pause_ms = if self.holder_works() {
+            let pause_ms = if self.has_working_holder() {
                 self.front.set_isolated(false);
                 candidate.reset();
                 poll_ms
             } else {
-                self.look(&mut candidate, &mut dialing, &mut dependency)
+                self.check_claim(&mut candidate, &mut connection, &mut dependency)
                     .await
             };
-            // Candidates that look at the same moment would all claim; one wins, the others did it in vain.
-            let jitter_ms = rand::rng().random_range(0..=LOOK_JITTER_MS);
+            // Candidates that check at the same moment would all send a claim, and only one can
+            // win.
+            let jitter_ms = rand::rng().random_range(0..=POLL_JITTER_MS);
             let pause = Duration::from_millis(pause_ms + jitter_ms);
             if let Some(holder) = self
-                .wait_for_trouble(pause, &mut dialing, &mut failures)
+                .wait_for_next_check(pause, &mut connection, &mut failures)
                 .await
             {
-                candidate.refused_by(now_ms(), &holder);
+                candidate.record_refused_connection(now_ms(), &holder);
             }
         }
     }
 
-    /// Reads the claim row and acts on it; returns when to look again.
-    async fn look(
+    /// Reads the claim row and acts on it; returns the time until the next check, in milliseconds.
+    async fn check_claim(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
-        dependency: &mut Dependency,
+        connection: &mut Option<HolderConnection>,
+        dependency: &mut DependencyStatus,
     ) -> u64 {
         let pause_ms = self.settings.timings.claim_poll_ms / 2;
         let began_ms = now_ms();
         let read = self.read_claim().await;
         let took_ms = now_ms().saturating_sub(began_ms);
         dependency.note(&read);
-        let nobody = matches!(self.leadership.current(), Leadership::Nobody);
-        self.front.set_isolated(nobody && read.is_err());
+        let no_holder = matches!(self.leadership.current(), Leadership::NoHolder);
+        self.front.set_isolated(no_holder && read.is_err());
         let Ok(reading) = read else {
-            candidate.unreadable();
+            candidate.record_unreadable();
             return pause_ms;
         };
-        let look_in_ms = self.consider(candidate, dialing, reading, took_ms).await;
-        look_in_ms.min(pause_ms)
+        let check_in_ms = self
+            .act_on_reading(candidate, connection, reading, took_ms)
+            .await;
+        check_in_ms.min(pause_ms)
     }
 
-    fn holder_works(&self) -> bool {
+    fn has_working_holder(&self) -> bool {
         match self.leadership.current() {
-            Leadership::Nobody => false,
+            Leadership::NoHolder => false,
             Leadership::Local => true,
             Leadership::Remote(_) => self.front.claim_age_ms() < self.settings.timings.stale_ms,
         }
     }
 
-    /// Waits, but not if the holder is lost meanwhile or a link ends; returns the holder if its address refused
-    /// the connection.
-    async fn wait_for_trouble(
+    /// Waits for `pause`, or until the holder is lost or a link ends; returns the holder if its
+    /// address refused the connection.
+    async fn wait_for_next_check(
         &self,
         pause: Duration,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         failures: &mut LinkFailures,
     ) -> Option<HolderRow> {
         let mut changes = self.leadership.subscribe();
-        let followed = !matches!(*changes.borrow_and_update(), Leadership::Nobody);
+        let followed = !matches!(*changes.borrow_and_update(), Leadership::NoHolder);
         let link_end = async {
-            match dialing {
-                Some(dialing) => (&mut dialing.end).await.ok(),
+            match connection {
+                Some(connection) => (&mut connection.end).await.ok(),
                 None => std::future::pending().await,
             }
         };
@@ -172,26 +179,26 @@
             _ = changes.changed(), if followed => return None,
             () = tokio::time::sleep(pause) => return None,
         };
-        let ended = dialing.take()?;
+        let ended = connection.take()?;
         let error = end?;
         metrics::counter!("chervilfall_links_failed_total").increment(1);
         let pause_ms = failures.note(&ended.row, &error);
         if error == DialError::Refused {
             return Some(ended.row);
         }
-        // Many nodes that dial at once would keep a holder busy that is about to serve.
+        // Many nodes that dial at the same time would burden a holder that is about to serve.
         let jitter_ms = rand::rng().random_range(0..=pause_ms / 2);
         tokio::time::sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
         None
     }
 
-    /// Reads the claim row; a reading that is not answered soon is joined by another, as it may wait on a connection that has
-    /// gone silent for good.
+    /// Reads the claim row. A reading that is not answered soon is sent again in parallel, as it
+    /// may wait on a connection that has gone silent permanently.
     async fn read_claim_row(&self) -> Result<(Option<Row>, u64), StoreError> {
         let store = self.platform.store();
         let first = store.read_claim(&self.group);
         let second = async {
-            tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from_millis(HEDGE_DELAY_MS)).await;
             store.read_claim(&self.group).await
         };
         tokio::pin!(first);
@@ -223,17 +230,17 @@
         })
     }
 
-    /// Acts on a reading; returns when to look again.
-    async fn consider(
+    /// Acts on a reading; returns the time until the next check, in milliseconds.
+    async fn act_on_reading(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         reading: ClaimReading,
         took_ms: u64,
     ) -> u64 {
         let poll_ms = self.settings.timings.claim_poll_ms;
-        let stall = Stall {
-            unsaid_ms: self.settings.timings.stall_ms,
+        let stall = StallTimeouts {
+            unreported_ms: self.settings.timings.stall_ms,
             refused_ms: self.settings.timings.refused_stall_ms,
             slow_ms: SLOW_STORE_FACTOR * took_ms,
         };
@@ -244,17 +251,17 @@
             reading.row,
             &stall,
         ) {
-            CandidateMove::Follow {
+            CandidateAction::Follow {
                 holder,
                 claim_in_ms,
             } => {
-                self.follow(dialing, holder);
+                self.follow(connection, holder);
                 claim_in_ms
             }
-            CandidateMove::Wait => poll_ms,
-            CandidateMove::Claim(batch, row) => {
+            CandidateAction::Wait => poll_ms,
+            CandidateAction::Claim(batch, row) => {
                 if !self.front.stopping() {
-                    self.claim(candidate, dialing, batch, row).await;
+                    self.claim(candidate, connection, batch, row).await;
                 }
                 poll_ms
             }
@@ -264,30 +271,31 @@
     async fn claim(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         batch: Batch,
         row: HolderRow,
     ) {
         let claimed_ms = now_ms();
         let outcome = self.commit_claim(batch).await;
-        if let Some(version) = won_version(&outcome, &row) {
-            self.abandon(dialing);
+        if let Some(version) = claimed_version(&outcome, &row) {
+            self.drop_connection(connection);
             let takeover = candidate.won(row, version);
             log::info!(term = takeover.row.term, fence = takeover.fence; "group claimed");
-            self.load(candidate, takeover, claimed_ms).await;
+            self.load_rows(candidate, takeover, claimed_ms).await;
         } else {
-            log::info!(outcome = outcome.word(); "claim not won");
+            log::info!(outcome = outcome.label(); "claim not won");
         }
     }
 
-    /// Sends a claim; one that is not answered soon is sent again, as it may wait on a connection that has gone silent for
-    /// good. Whichever copy comes first, the other finds the claim moved.
+    /// Sends a claim. A claim that is not answered soon is sent again in parallel, as it may wait
+    /// on a connection that has gone silent permanently. Whichever copy arrives first, the other
+    /// finds that the claim row has changed.
     async fn commit_claim(&self, batch: Batch) -> CommitOutcome {
         let store = self.platform.store();
         let again = batch.clone();
         let first = store.commit(&self.group, batch);
         let second = async {
-            tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from_millis(HEDGE_DELAY_MS)).await;
             store.commit(&self.group, again).await
         };
         tokio::pin!(first);
@@ -301,14 +309,14 @@
         }
     }
 
-    fn follow(&self, dialing: &mut Option<Dialing>, holder: HolderRow) {
-        let same = dialing.as_ref().is_some_and(|dialing| {
-            dialing.row.incarnation == holder.incarnation && dialing.row.term == holder.term
+    fn follow(&self, connection: &mut Option<HolderConnection>, holder: HolderRow) {
+        let same = connection.as_ref().is_some_and(|connection| {
+            connection.row.incarnation == holder.incarnation && connection.row.term == holder.term
         });
         if same {
             return;
         }
-        self.abandon(dialing);
+        self.drop_connection(connection);
         let Ok(address) = holder.address.parse::<SocketAddr>() else {
             log::warn!(holder = holder.node.as_str(), address = holder.address.as_str(); "holder's address cannot be read");
             return;
@@ -321,28 +329,29 @@
         let (ended, end) = oneshot::channel();
         let task = tokio::spawn(async move {
             let error = dial(address, &settings, &front, &leadership, &advisor).await;
-            // The watch lives as long as the process.
+            // The claim watch runs until the process ends.
             drop(ended.send(error));
         });
-        *dialing = Some(Dialing {
+        *connection = Some(HolderConnection {
             row: holder,
             task,
             end,
         });
     }
 
-    fn abandon(&self, dialing: &mut Option<Dialing>) {
-        if let Some(old) = dialing.take() {
+    fn drop_connection(&self, connection: &mut Option<HolderConnection>) {
+        if let Some(old) = connection.take() {
             old.task.abort();
             if matches!(self.leadership.current(), Leadership::Remote(_)) {
-                self.leadership.set(Leadership::Nobody);
+                self.leadership.set(Leadership::NoHolder);
             }
         }
     }
 }
 
-/// Returns the version of a claim that was won; a conflict may show the claim itself, carried out by another copy.
-fn won_version(outcome: &CommitOutcome, row: &HolderRow) -> Option<RowVersion> {
+/// Returns the version of the claim row if the claim was won; a conflict may show the claim itself,
+/// stored by another copy.
+fn claimed_version(outcome: &CommitOutcome, row: &HolderRow) -> Option<RowVersion> {
     match outcome {
         CommitOutcome::Stored { version, .. } => Some(*version),
         CommitOutcome::Conflict(Some((version, bytes))) => {
--- a/crates/chervilfall_node/src/watch/configuration.rs
+++ b/crates/chervilfall_node/src/watch/configuration.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration, so that a change is in force in time although some readings are never answered. A node whose
-//! readings are not answered asks the holder too.
+//! Reads the configuration, so that a change is in force in time even if some readings are never
+//! answered. A node whose readings are not answered also asks the holder.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use crate::configuration::ConfigurationState;
 use crate::leadership::{Leadership, LeadershipState};
 use crate::ports::{ConfigurationReading, Store};
-use crate::watch::readings::{ReadingTimes, Readings, Step};
+use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
 
-/// Readings without an answer after which the holder is asked too.
-const UNANSWERED: usize = 2;
+/// Number of unanswered readings from which the holder is asked too.
+const ASK_HOLDER_AFTER: usize = 2;
 
-/// Returns times by which a change is in force within a bound, although three readings in a row are not answered, or each
-/// takes half of the bound.
+/// Returns timings with which a change is in force within `apply_ms`, even if three readings in a
+/// row are not answered or each takes half of that time.
 const fn times_within(apply_ms: u64) -> ReadingTimes {
     ReadingTimes {
         poll_ms: apply_ms * 3 / 10,
-        least_hedge_ms: apply_ms * 3 / 20,
-        most_hedge_ms: apply_ms / 4,
+        min_hedge_ms: apply_ms * 3 / 20,
+        max_hedge_ms: apply_ms / 4,
     }
 }
 
@@ -35,30 +35,30 @@
         known: None,
         unreadable: false,
     };
-    let mut readings = Readings::new("configuration", times_within(apply_ms));
+    let mut readings = HedgedReads::new("configuration", times_within(apply_ms));
     loop {
-        let step = tokio::select! {
-            step = readings.step() => step,
-            () = reader.configuration.wanted() => {
-                readings.hasten();
+        let event = tokio::select! {
+            event = readings.next_event() => event,
+            () = reader.configuration.reading_requested() => {
+                readings.read_soon();
                 continue;
             }
         };
-        match step {
-            Step::Due => {
-                if readings.unanswered() >= UNANSWERED {
+        match event {
+            ReadEvent::Due => {
+                if readings.unanswered() >= ASK_HOLDER_AFTER {
                     reader.ask_holder(&leadership);
                 }
                 let (store, known) = (store.clone(), reader.known);
                 readings.begin(async move { store.read_configuration(known).await });
             }
-            Step::Answered { began_ms, value } => {
+            ReadEvent::Answered { began_ms, value } => {
                 if value == ConfigurationReading::Absent {
-                    readings.hasten();
+                    readings.read_soon();
                 }
-                reader.take(value, began_ms);
+                reader.apply(value, began_ms);
             }
-            Step::None => {}
+            ReadEvent::None => {}
         }
         metrics::gauge!("chervilfall_configuration_readings_unanswered")
             .set(readings.unanswered() as f64);
@@ -67,42 +67,42 @@
 
 struct Reader {
     configuration: Arc<ConfigurationState>,
-    /// The newest row that was seen.
+    /// Version of the newest row that was read.
     known: Option<RowVersion>,
-    /// That row cannot be read, so that an older configuration is in force.
+    /// That row cannot be decoded, so an older configuration is in force.
     unreadable: bool,
 }
 
 impl Reader {
-    /// Asks the holder for its configuration, which the store may tell to it and not to this node.
+    /// Asks the holder for its configuration, as the store may answer the holder but not this node.
     fn ask_holder(&self, leadership: &LeadershipState) {
         if let Leadership::Remote(link) = leadership.current() {
             link.ask_configuration(self.configuration.version());
         }
     }
 
-    fn take(&mut self, found: ConfigurationReading, began_ms: u64) {
-        self.configuration.hear(began_ms);
+    fn apply(&mut self, found: ConfigurationReading, began_ms: u64) {
+        self.configuration.record_answer(began_ms);
         match found {
             ConfigurationReading::Absent => {}
             ConfigurationReading::Unchanged if self.unreadable => {}
             ConfigurationReading::Unchanged => self.configuration.confirm(began_ms),
             ConfigurationReading::Changed { version, table } => {
-                self.note_row(version, false);
-                self.configuration.put(Arc::new(table), began_ms);
+                self.record_row(version, false);
+                self.configuration.put_in_force(Arc::new(table), began_ms);
             }
             ConfigurationReading::Unreadable { version, error } => {
-                self.note_row(version, true);
+                self.record_row(version, true);
                 let in_force = self.configuration.version();
                 log::error!(
                     row = version, in_force = in_force, error:% = error;
-                    "configuration cannot be read, the one before stays in force"
+                    "configuration cannot be read, the previous one stays in force"
                 );
             }
         }
     }
 
-    fn note_row(&mut self, version: RowVersion, unreadable: bool) {
+    fn record_row(&mut self, version: RowVersion, unreadable: bool) {
         self.known = Some(version);
         self.unreadable = unreadable;
         metrics::gauge!("chervilfall_configuration_unreadable")
--- a/crates/chervilfall_node/src/watch/readings.rs
+++ b/crates/chervilfall_node/src/watch/hedged_reads.rs
@@ -1,7 +1,7 @@
-//! Readings of the store of which some are never answered.
+//! Hedged readings of the store, of which some are never answered.
 //!
-//! A reading that is not answered soon does not hold up the next one: it may wait on a connection that has gone silent
-//! for good, and whether it has can't be told from a store that is slow.
+//! A reading that is not answered soon does not delay the next one: it may wait on a connection
+//! that has gone silent permanently, which cannot be distinguished from a slow store.
 
 use std::future::Future;
 use std::time::Duration;
@@ -10,35 +10,35 @@
 
 use crate::clock::now_ms;
 use crate::ports::StoreError;
-use crate::watch::Dependency;
+use crate::watch::DependencyStatus;
 
-/// Readings that may be on their way at the same time.
-const MOST_READINGS: usize = 4;
-/// Pause after a reading that was refused, and the shortest between two.
+/// Maximum number of readings in flight.
+const MAX_IN_FLIGHT: usize = 4;
+/// Pause after a refused reading, and the minimum time between two readings.
 pub(crate) const RETRY_MS: u64 = 150;
 
 /// When the next reading begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReadingTimes {
-    /// From the begin of one that was answered.
+    /// Time since the start of a reading that was answered.
     pub(crate) poll_ms: u64,
-    /// From the begin of one that is not answered, at least.
-    pub(crate) least_hedge_ms: u64,
-    /// From the begin of one that is not answered, at most.
-    pub(crate) most_hedge_ms: u64,
+    /// Minimum time since the start of a reading that is not answered.
+    pub(crate) min_hedge_ms: u64,
+    /// Maximum time since the start of a reading that is not answered.
+    pub(crate) max_hedge_ms: u64,
 }
 
 impl ReadingTimes {
-    /// Returns when a reading that is not answered is joined by another one: later if answers take long, so that a thin
-    /// link is not filled with the same answer several times.
+    /// Returns the time after which another reading is sent beside an unanswered one: longer if
+    /// answers take long, so that a slow link does not carry the same answer several times.
     fn hedge_ms(&self, last_took_ms: u64) -> u64 {
-        (2 * last_took_ms).clamp(self.least_hedge_ms, self.most_hedge_ms)
+        (2 * last_took_ms).clamp(self.min_hedge_ms, self.max_hedge_ms)
     }
 }
 
-/// What a reader has to do next.
+/// What a reader has to handle next.
 #[derive(Debug)]
-pub(crate) enum Step<T> {
+pub(crate) enum ReadEvent<T> {
     /// A reading is due.
     Due,
     /// A reading was answered that began later than all that were answered before.
@@ -48,7 +48,7 @@
         /// What it shows.
         value: T,
     },
-    /// Nothing.
+    /// Nothing to handle.
     None,
 }
 
@@ -58,27 +58,27 @@
     read: Result<T, StoreError>,
 }
 
-/// Readings of one thing.
-pub(crate) struct Readings<T> {
+/// Readings of one item of the store.
+pub(crate) struct HedgedReads<T> {
     times: ReadingTimes,
-    dependency: Dependency,
+    dependency: DependencyStatus,
     running: JoinSet<Reading<T>>,
-    /// Readings that are on their way, and when they began.
+    /// Readings in flight, and when they began.
     pending: Vec<(u64, AbortHandle)>,
     due_ms: u64,
     last_began_ms: u64,
-    /// When the latest of those began that were answered.
+    /// When the latest reading that was answered began.
     answered_ms: u64,
     last_took_ms: u64,
     failed_in_a_row: usize,
 }
 
-impl<T: Send + 'static> Readings<T> {
-    /// Returns readings of which the first is due now.
+impl<T: Send + 'static> HedgedReads<T> {
+    /// Creates readings of which the first is due now.
     pub(crate) fn new(name: &'static str, times: ReadingTimes) -> Self {
         Self {
             times,
-            dependency: Dependency::new(name),
+            dependency: DependencyStatus::new(name),
             running: JoinSet::new(),
             pending: Vec::new(),
             due_ms: now_ms(),
@@ -89,22 +89,23 @@
         }
     }
 
-    /// Returns how many readings are not answered: those on their way, and the last ones that failed.
+    /// Returns the number of unanswered readings: those in flight, and the last consecutive
+    /// failures.
     pub(crate) fn unanswered(&self) -> usize {
         self.pending.len() + self.failed_in_a_row
     }
 
     /// Waits until a reading has ended or the next one is due.
-    pub(crate) async fn step(&mut self) -> Step<T> {
-        let may_begin = self.running.len() < MOST_READINGS;
+    pub(crate) async fn next_event(&mut self) -> ReadEvent<T> {
+        let may_begin = self.running.len() < MAX_IN_FLIGHT;
         let wait = Duration::from_millis(self.due_ms.saturating_sub(now_ms()));
         tokio::select! {
-            Some(reading) = self.running.join_next() => self.joined(reading),
-            () = tokio::time::sleep(wait), if may_begin => Step::Due,
+            Some(reading) = self.running.join_next() => self.handle_finished(reading),
+            () = tokio::time::sleep(wait), if may_begin => ReadEvent::Due,
         }
     }
 
-    /// Begins a reading.
+    /// Starts a reading.
     pub(crate) fn begin(
         &mut self,
         read: impl Future<Output = Result<T, StoreError>> + Send + 'static,
@@ -119,20 +120,21 @@
         self.due_ms = began_ms + self.times.hedge_ms(self.last_took_ms);
     }
 
-    /// Lets the next reading begin now, unless one has begun just now.
-    pub(crate) fn hasten(&mut self) {
+    /// Makes the next reading due now, or `RETRY_MS` after the start of the last one if that is
+    /// later.
+    pub(crate) fn read_soon(&mut self) {
         let soonest_ms = self.last_began_ms + RETRY_MS;
         self.due_ms = self.due_ms.min(now_ms().max(soonest_ms));
     }
 
-    fn joined(&mut self, reading: Result<Reading<T>, JoinError>) -> Step<T> {
+    fn handle_finished(&mut self, reading: Result<Reading<T>, JoinError>) -> ReadEvent<T> {
         let Reading { began_ms, read } = match reading {
             Ok(reading) => reading,
             Err(error) => {
                 if !error.is_cancelled() {
-                    log::error!(error:% = error; "reading ended badly");
+                    log::error!(error:% = error; "reading task failed");
                 }
-                return Step::None;
+                return ReadEvent::None;
             }
         };
         self.dependency.note(&read);
@@ -140,13 +142,13 @@
             Ok(value) => self.answered(began_ms, value),
             Err(error) => {
                 self.failed(began_ms, &error);
-                Step::None
+                ReadEvent::None
             }
         }
     }
 
-    /// Gives up readings that could tell only what is known, and plans the next one.
-    fn answered(&mut self, began_ms: u64, value: T) -> Step<T> {
+    /// Aborts older readings, which cannot return anything newer, and schedules the next one.
+    fn answered(&mut self, began_ms: u64, value: T) -> ReadEvent<T> {
         self.failed_in_a_row = 0;
         self.pending.retain(|(other_ms, handle)| {
             let newer = *other_ms > began_ms;
@@ -156,14 +158,14 @@
             newer
         });
         if began_ms <= self.answered_ms {
-            return Step::None;
+            return ReadEvent::None;
         }
         self.answered_ms = began_ms;
         self.last_took_ms = now_ms() - began_ms;
         if self.pending.is_empty() {
             self.due_ms = began_ms + self.times.poll_ms;
         }
-        Step::Answered { began_ms, value }
+        ReadEvent::Answered { began_ms, value }
     }
 
     fn failed(&mut self, began_ms: u64, error: &StoreError) {
@@ -177,7 +179,7 @@
                 "reading failed again"
             );
         }
-        // What is malformed now is malformed again a moment later.
+        // A malformed answer would be malformed again on an early retry.
         let pause_ms = match error {
             StoreError::Malformed(_) => self.times.poll_ms,
             StoreError::Refused(_) | StoreError::Unanswered(_) => RETRY_MS,
--- a/crates/chervilfall_node/src/watch/takeover.rs
+++ b/crates/chervilfall_node/src/watch/takeover.rs
@@ -1,4 +1,4 @@
-//! From a claim to a holder that serves: reads the group's rows, keeps the claim alive meanwhile, or hands it back.
+//! Takes over a claimed group: reads its rows, renews the claim meanwhile, or hands it back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +13,28 @@
 use crate::watch::pages::Progress;
 use crate::watch::recovery::{read_history, GroupReader};
 
-/// Time between renewals of a claim whose rows are being read: a third of the standstill
-/// that holds meanwhile.
+/// Interval between renewals of the claim while rows are read: a third of the stall timeout that
+/// applies meanwhile.
 const RENEW_MS: u64 = 400;
-/// A claim is handed back if no page of the rows has come for this long: some times the bound of a page.
-const STUCK_MS: u64 = 3_000;
-/// Time between lines that say how far a reading of the rows has come.
-const PROGRESS_LINE_MS: u64 = 1_000;
-/// Somebody else has claimed the group.
+/// The claim is handed back if no page of the rows has arrived for this long: several times the
+/// time limit of a page.
+const NO_PROGRESS_LIMIT_MS: u64 = 3_000;
+/// Interval between log lines on the progress of reading the rows.
+const PROGRESS_LOG_INTERVAL_MS: u64 = 1_000;
+/// Another node has claimed the group.
 struct ClaimLost;
 
 /// Rows that were read under a claim which was handed back.
-pub(crate) struct KeptRows {
+pub(crate) struct RetainedRows {
     term: u64,
     rows: GroupReader,
 }
 
 impl<P: Platform> ClaimWatch<P> {
-    /// Reads the rows of the group that was claimed, and keeps the claim alive meanwhile: a machine with a slow link can
-    /// take longer than the claim may stand still. The claim is handed back if nothing comes, so that nodes which can read
-    /// the rows are not kept from them.
-    pub(super) async fn load(
+    /// Reads the rows of the claimed group and renews the claim meanwhile: a machine with a slow
+    /// link can take longer than the stall timeout of the claim. The claim is handed back if
+    /// nothing arrives, so that nodes that can read the rows are not kept from taking over.
+    pub(super) async fn load_rows(
         &mut self,
         candidate: &mut Candidate,
         mut takeover: Takeover,
@@ -41,7 +42,7 @@
     ) {
         let began_ms = now_ms();
         let progress = Progress::new();
-        let mut rows = self.kept_rows(&takeover);
+        let mut rows = self.retained_rows(&takeover);
         let mut confirmed_ms = claimed_ms;
         self.set_recovering(true).await;
         let read = {
@@ -51,12 +52,12 @@
                 read
             };
             tokio::pin!(reading);
-            let mut next_line_ms = began_ms + PROGRESS_LINE_MS;
+            let mut next_line_ms = began_ms + PROGRESS_LOG_INTERVAL_MS;
             loop {
                 tokio::select! {
                     read = &mut reading => break Some(read),
                     () = tokio::time::sleep(Duration::from_millis(RENEW_MS)) => {
-                        if progress.still_ms() >= STUCK_MS {
+                        if progress.since_last_page_ms() >= NO_PROGRESS_LIMIT_MS {
                             break None;
                         }
                         let sent_ms = now_ms();
@@ -70,14 +71,14 @@
                             }
                         }
                         if now_ms() >= next_line_ms {
-                            next_line_ms += PROGRESS_LINE_MS;
-                            say_progress(&takeover, &progress, began_ms);
+                            next_line_ms += PROGRESS_LOG_INTERVAL_MS;
+                            report_progress(&takeover, &progress, began_ms);
                         }
                     }
                 }
             }
         };
-        say_progress(&takeover, &progress, began_ms);
+        report_progress(&takeover, &progress, began_ms);
         match read {
             Some(Ok(())) => self.take_over(takeover, rows, confirmed_ms).await,
             Some(Err(error)) => {
@@ -85,25 +86,27 @@
                 self.hand_back(candidate, &mut takeover).await;
             }
             None => {
-                log::warn!(term = takeover.row.term, still_ms = progress.still_ms(); "group's rows do not come, claim handed back");
+                log::warn!(term = takeover.row.term, still_ms = progress.since_last_page_ms(); "no page of the group's rows arrived in time, claim handed back");
                 self.hand_back(candidate, &mut takeover).await;
                 let term = takeover.row.term;
-                self.kept = Some(KeptRows { term, rows });
+                self.retained = Some(RetainedRows { term, rows });
             }
         }
         self.set_recovering(false).await;
     }
 
-    /// Returns what was read under an earlier claim of this process, if nobody has held the group since.
-    fn kept_rows(&mut self, takeover: &Takeover) -> GroupReader {
-        let kept = self.kept.take();
-        let kept = kept.filter(|kept| kept.term + 1 == takeover.row.term);
-        kept.map_or_else(GroupReader::new, |kept| kept.rows)
+    /// Returns the rows read under an earlier claim of this process, if no other node has held the
+    /// group since.
+    fn retained_rows(&mut self, takeover: &Takeover) -> GroupReader {
+        let retained = self.retained.take();
+        let retained = retained.filter(|retained| retained.term + 1 == takeover.row.term);
+        retained.map_or_else(GroupReader::new, |retained| retained.rows)
     }
 
-    /// Tells the control thread whether rows are being read, so that links to this node last until it serves.
+    /// Notifies the control thread whether rows are being read, so that links to this node stay
+    /// open until it serves.
     async fn set_recovering(&self, recovering: bool) {
-        // The control thread ends with the process only.
+        // The control thread runs until the process ends, so the send does not fail.
         drop(
             self.control
                 .send(ControlEvent::Recovering(recovering))
@@ -118,9 +121,10 @@
             stored: rows.into_stored(),
             claimed_ms,
         };
-        // The control thread ends with the process only.
+        // The control thread runs until the process ends, so the send does not fail.
         drop(self.control.send(event).await);
-        // The control thread says when it has taken over; until then nothing is claimed.
+        // The control thread sets the leadership once it has taken over; until then nothing is
+        // claimed.
         let held = self
             .leadership
             .wait_until(|leadership| matches!(leadership, Leadership::Local));
@@ -128,32 +132,32 @@
         self.read_history(term);
     }
 
-    /// Reads in the background what the new holder can serve without.
+    /// Reads in the background the rows that the new holder can serve without.
     fn read_history(&self, term: u64) {
         let (store, group) = (self.platform.store().clone(), self.group.clone());
         let (control, leadership) = (self.control.clone(), Arc::clone(&self.leadership));
         tokio::spawn(async move {
-            let tell = |event| {
+            let send = |event| {
                 let (control, leadership) = (control.clone(), Arc::clone(&leadership));
                 async move {
                     let holds = matches!(leadership.current(), Leadership::Local);
-                    let event = ControlEvent::Done { term, event };
+                    let event = ControlEvent::ActionCompleted { term, event };
                     holds && control.send(event).await.is_ok()
                 }
             };
-            read_history(&store, &group, tell).await;
+            read_history(&store, &group, send).await;
         });
     }
 
     async fn hand_back(&self, candidate: &mut Candidate, takeover: &mut Takeover) {
-        candidate.abstain(now_ms());
+        candidate.back_off(now_ms());
         let batch = Candidate::hand_back(takeover);
         let outcome = self.platform.store().commit(&self.group, batch).await;
-        // Without an answer the claim lapses by its standstill.
-        log::info!(term = takeover.row.term, outcome = outcome.word(); "claim handed back");
+        // Without an answer the claim lapses by its stall timeout.
+        log::info!(term = takeover.row.term, outcome = outcome.label(); "claim handed back");
     }
 
-    /// Renews a claim; returns whether that is confirmed.
+    /// Renews the claim; returns whether the store confirmed that.
     async fn renew(&self, takeover: &mut Takeover) -> Result<bool, ClaimLost> {
         let batch = Candidate::renewal(takeover);
         let number = batch.number;
@@ -177,44 +181,44 @@
         Ok(true)
     }
 
-    /// Reads the configuration after the claim was won: it is at least as new then as any that an earlier holder went by,
-    /// so that no job goes back to older terms.
+    /// Reads the configuration after the claim was won: it is then at least as new as any that an
+    /// earlier holder used, so that no job goes back to an older configuration.
     async fn read_configuration(&self) {
         let configuration = self.front.configuration();
         let since_ms = now_ms();
-        let patience = Duration::from_millis(self.settings.config_apply_ms / 2);
+        let wait_budget = Duration::from_millis(self.settings.config_apply_ms / 2);
         let own = async {
             let read = self.platform.store().read_configuration(None).await;
             match read {
                 Ok(ConfigurationReading::Changed { table, .. }) => {
-                    configuration.put(Arc::new(table), since_ms);
+                    configuration.put_in_force(Arc::new(table), since_ms);
                 }
-                // The reader says why, and tries again.
+                // The configuration watch logs the error and retries.
                 Ok(_) | Err(_) => std::future::pending().await,
             }
         };
         let read = tokio::select! {
             () = own => true,
-            read = configuration.until_heard_since(since_ms, patience) => read,
+            read = configuration.wait_for_answer_since(since_ms, wait_budget) => read,
         };
         if !read {
             log::warn!(
                 version = configuration.version(), age_ms = configuration.age_ms();
-                "configuration not read, group taken over by the one in force"
+                "configuration not read, group taken over with the one in force"
             );
         }
     }
 }
 
-/// Says how far a reading of the rows has come.
-fn say_progress(takeover: &Takeover, progress: &Progress, began_ms: u64) {
+/// Reports the progress of reading the rows.
+fn report_progress(takeover: &Takeover, progress: &Progress, began_ms: u64) {
     let counts = progress.counts();
     let took_ms = now_ms().saturating_sub(began_ms);
     metrics::gauge!("chervilfall_recovery_rows").set(counts.rows as f64);
     metrics::gauge!("chervilfall_recovery_bytes").set(counts.bytes as f64);
     metrics::gauge!("chervilfall_recovery_seconds").set(took_ms as f64 / 1_000.0);
     log::info!(
-        term = takeover.row.term, rows = counts.rows, bytes = counts.bytes, missed = counts.missed, took_ms = took_ms;
-        "group's rows are read"
+        term = takeover.row.term, rows = counts.rows, bytes = counts.bytes, missed = counts.failed_pages, took_ms = took_ms;
+        "progress of reading the group's rows"
     );
 }
--- a/crates/chervilfall_node/tests/authority.rs
+++ b/crates/chervilfall_node/tests/authority.rs
@@ -1,4 +1,4 @@
-//! For how long a node lets calls with a key through when it cannot read the configuration any more.
+//! How long a node accepts calls with a key after it can no longer read the configuration.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 
 const KEY: &str = "a-key";
 const OWNER: &str = "owner";
-/// Time that the only reading is under way after the store has read.
+/// Delay of the only answer after the store has read the configuration.
 const ANSWER: Duration = Duration::from_millis(700);
 const REVOKE: Duration = Duration::from_secs(1);
 
@@ -120,7 +120,7 @@
 }
 
 async fn open(strict: bool) -> Node {
-    // Any free port will do: nobody links to this node.
+    // Any free port will do: no other node links to this one.
     let settings = format!(
         "node: a\ndomain: a\nlisten: 127.0.0.1:0\nready_listen: 127.0.0.1:0\nlink_listen: 127.0.0.1:0\n\
          store: 127.0.0.1:1\nlease_max_ms: 10000\nstatus_s: 120\nrow_bytes: 65536\nconfig_apply_ms: 500\n\
@@ -134,11 +134,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_good_for_as_long_as_its_reading() {
+async fn a_key_is_accepted_while_its_reading_is_recent() {
     struct Case {
         name: &'static str,
         strict: bool,
-        /// Time of the call, from the begin of the only reading.
+        /// Time of the call, from the start of the only reading.
         at: Duration,
         answer: Result<Option<String>, FrontAnswer>,
     }
