--- a/crates/chervilfall_node/src/configuration.rs
+++ b/crates/chervilfall_node/src/configuration.rs
@@ -69,8 +69,8 @@
         self.current().is_some() && (answered || self.is_current())
     }
 
-    /// Returns whether the configuration was confirmed so recently that everything that must be in
-    /// force is.
+    /// Returns whether the configuration was confirmed recently enough that everything that must be
+    /// in force by now is.
     #[must_use]
     pub fn is_current(&self) -> bool {
         self.age_ms().is_some_and(|age_ms| age_ms <= self.apply_ms)
@@ -82,8 +82,8 @@
         self.wait_until(Self::is_current, wait_budget).await
     }
 
-    /// Waits until the store has answered a reading that began after a time; returns whether it
-    /// has.
+    /// Waits until the store has answered a reading that began at `since_ms` or later; returns
+    /// whether it has.
     pub(crate) async fn wait_for_answer_since(&self, since_ms: u64, wait_budget: Duration) -> bool {
         let answered = |state: &Self| match state.answered_ms.load(Ordering::Relaxed) {
             UNKNOWN => false,
--- a/crates/chervilfall_node/src/front.rs
+++ b/crates/chervilfall_node/src/front.rs
@@ -60,7 +60,8 @@
     leadership: Arc<LeadershipState>,
     control: mpsc::Sender<ControlEvent>,
     timings: Timings,
-    /// How old the reading may be that a call with a key is accepted by; none if calls need no key.
+    /// Maximum age of the reading by which a call with a key is accepted; none if calls need no
+    /// key.
     revocation: Option<Revocation>,
     stopping: AtomicBool,
     /// Age of the holder's claim when it was last reported, in milliseconds; `u64::MAX` while
--- a/crates/chervilfall_node/src/link/frames.rs
+++ b/crates/chervilfall_node/src/link/frames.rs
@@ -15,7 +15,7 @@
 /// A link's socket.
 pub(super) type Socket = WebSocketStream<TcpStream>;
 
-/// Capacity of a link's send queue; a peer that is this far behind is given up.
+/// Capacity of a link's send queue; a link whose peer is this far behind is given up.
 pub(super) const QUEUE_CAPACITY: usize = 4_096;
 
 /// Why a link has ended.
--- a/crates/chervilfall_node/src/watch/claim.rs
+++ b/crates/chervilfall_node/src/watch/claim.rs
@@ -24,8 +24,8 @@
 
 /// Maximum random delay between checks of the claim row.
 const POLL_JITTER_MS: u64 = 30;
-/// Number of commits of a holder, each as slow as the last reading, that the claim row may stay
-/// unchanged for.
+/// Stall timeout with a slow store, in multiples of the duration of the last reading: enough for
+/// that many commits of the holder.
 const SLOW_STORE_FACTOR: u64 = 3;
 /// A reading of the claim row, or a claim, that is not answered for this long is sent again.
 const HEDGE_DELAY_MS: u64 = 150;
@@ -37,7 +37,7 @@
 struct HolderConnection {
     row: HolderRow,
     task: JoinHandle<()>,
-    /// Why there is no link, or no longer one.
+    /// Receives the reason when dialing fails or the link ends.
     end: oneshot::Receiver<DialError>,
 }
 
