--- a/crates/chervilfall_node/src/control.rs
+++ b/crates/chervilfall_node/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: feeds the planner while this node holds the group, and carries out what it
-//! wants done.
+//! The control thread: feeds the planner while this node holds the group, and carries out its
+//! actions.
 
 mod actions;
 
@@ -23,22 +23,23 @@
 use crate::load::ControlLoad;
 use crate::ports::Platform;
 
-/// Number of this node among those that can call for advice.
+/// Number of this node among those that can call the advice service.
 const LOCAL_NODE: NodeId = 0;
 
-/// Most routes of a configuration that is told over a link: more would keep heartbeats from a thin link for so long that
-/// it counts as broken.
+/// Maximum number of routes of a configuration that is sent over a link: a larger one would delay
+/// heartbeats on a slow link for so long that it counts as broken.
 const MAX_ROUTES_SENT: usize = 500;
 
-/// A node makes way for one with so many times its processor.
+/// A holder hands the group over to a node with at least this many times its CPU.
 const HANDOVER_CPU_FACTOR: u64 = 2;
-/// How long that one must have been linked: a node that comes and goes would hold the group for a moment only.
+/// How long that node must have been linked: one whose links keep breaking would hold the group
+/// only briefly.
 const HANDOVER_LINK_AGE_MS: u64 = 1_000;
 
-/// What the control thread is told.
+/// Events of the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
-    /// A request of this node's callers.
+    /// A request from one of this node's callers.
     LocalRequest(PendingRequest),
     /// A follower has linked.
     LinkUp {
@@ -48,7 +49,7 @@
     },
     /// A follower's link has ended.
     LinkDown { id: NodeId },
-    /// A request that a follower passes on.
+    /// A request that a follower forwards.
     LinkRequest {
         id: NodeId,
         number: u64,
@@ -60,11 +61,11 @@
         known: Option<u64>,
         asked_ms: u64,
     },
-    /// A node that held the group before tells what it has started and could not store.
+    /// A node that held the group before reports starts that it could not store.
     UnstoredStarts(Vec<StartNote>),
     /// A call for advice was answered.
     Advised { number: u64, answer: AdviceAnswer },
-    /// What the planner of a term wanted done was answered.
+    /// An action of the planner of a term has completed.
     ActionCompleted { term: u64, event: Event },
     /// This node has claimed the group.
     Claimed {
@@ -72,7 +73,7 @@
         stored: StoredGroup,
         claimed_ms: u64,
     },
-    /// This node reads the rows of a group that it has claimed, or does not any more.
+    /// Whether this node is reading the rows of a group that it has claimed.
     Recovering(bool),
     /// The list of endpoints was read.
     Endpoints {
@@ -81,7 +82,7 @@
     },
     /// A planned stop has begun.
     Release,
-    /// Tells by its age how long events wait.
+    /// Shows by its age how long events wait in the queue.
     Probe(Instant),
 }
 
@@ -91,19 +92,19 @@
     pub(crate) group: String,
     pub(crate) limits: Limits,
     pub(crate) heartbeat_ms: u64,
-    /// Processor that this node may use, in thousandths of a core.
+    /// CPU that this node may use, in thousandths of a core.
     pub(crate) cpu_permille: u64,
     pub(crate) front: Arc<Front>,
     pub(crate) leadership: Arc<LeadershipState>,
     pub(crate) sender: mpsc::Sender<ControlEvent>,
     pub(crate) traffic: Handle,
     planner: Option<Planner>,
-    /// What this node has started as a holder and could not store, until the next holder knows.
+    /// Starts that this node made as a holder and could not store, until the next holder has them.
     unstored: Vec<StartNote>,
     configuration: Arc<ConfigurationState>,
-    /// Version that the planner knows.
+    /// Version of the configuration that the planner has.
     planner_configuration_version: Option<u64>,
-    /// This node reads the rows of a group that it has claimed.
+    /// This node is reading the rows of a group that it has claimed.
     recovering: bool,
     links: BTreeMap<NodeId, FollowerLink>,
     waiting: HashMap<u64, oneshot::Sender<Answer>>,
@@ -161,7 +162,7 @@
     }
 
     fn step_down(&mut self, reason: StepDownReason) {
-        log::info!(reason:? = reason; "following again");
+        log::info!(reason:? = reason; "holder stepped down, following again");
         if let Some(planner) = self.planner.take() {
             self.unstored = planner.unstored_starts();
         }
@@ -180,13 +181,13 @@
         self.planner_configuration_version = None;
         self.update_planner_configuration();
         self.feed_nodes();
-        // Links that were kept while rows were read hear of it at once.
+        // Links that were kept open while rows were read get a heartbeat immediately.
         self.heartbeat_due_ms = 0;
         self.send_heartbeats();
     }
 
-    /// Tells the planner of a configuration that has come into force. It is looked up before each event, so that nothing
-    /// is decided by an older one, however many events wait.
+    /// Passes a configuration that has come into force to the planner. This is checked before each
+    /// event, so that nothing is decided by an older one, however many events are queued.
     fn update_planner_configuration(&mut self) {
         if self.planner.is_none()
             || self.configuration.version() == self.planner_configuration_version
@@ -202,7 +203,7 @@
         self.feed(Event::Configured(Arc::new(table.configuration())));
     }
 
-    /// Has the configuration read if the node that took a request knows a newer one.
+    /// Requests a reading of the configuration if the node that accepted a request has a newer one.
     fn note_request_version(&self, request: &Request) {
         if let Request::Submit { queue, .. } = request {
             self.configuration
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Tells a follower, which may not reach the store, what is in force here.
+    /// Sends the configuration in force to a follower, which may not reach the store.
     fn send_configuration(&self, id: NodeId, known: Option<u64>, asked_ms: u64) {
         let current = (self.configuration.age_ms(), self.configuration.current());
         let (Some(link), (Some(age_ms), Some(table))) = (self.links.get(&id), current) else {
@@ -223,7 +224,7 @@
         {
             return;
         }
-        // A follower that misses it asks again.
+        // A follower that does not receive it asks again.
         drop(link.queue.try_send(ToFollower::Configuration {
             asked_ms,
             age_ms,
@@ -243,13 +244,13 @@
             return;
         };
         log::info!(link = id, follower = node, serves = self.planner.is_some(); "follower linked");
-        // The queue is new and empty.
+        // The queue is new and empty, so this does not fail.
         drop(link.queue.try_send(first));
         self.links.insert(id, link);
         self.feed_nodes();
     }
 
-    /// Returns what followers are told, if this node holds the group or is about to.
+    /// Returns the message for followers if this node holds the group or is about to.
     fn heartbeat(&self) -> Option<ToFollower> {
         let Some(planner) = &self.planner else {
             return self.recovering.then_some(ToFollower::Recovering);
@@ -261,7 +262,8 @@
         })
     }
 
-    /// Keeps links while rows are read: followers would dial again and again. They end if the group is not taken over.
+    /// Keeps links open while rows are read, as followers would otherwise dial again and again.
+    /// They are closed if the group is not taken over.
     fn set_recovering(&mut self, recovering: bool) {
         self.recovering = recovering;
         if !recovering && self.planner.is_none() {
@@ -271,13 +273,14 @@
 
     fn drop_links(&mut self) {
         for link in self.links.values() {
-            // A follower that misses this sees the link end.
+            // A follower that does not receive this notices that the link ends.
             drop(link.queue.try_send(ToFollower::NotHolder));
         }
         self.links.clear();
     }
 
-    /// Hands the group to a machine with far more processor that is back: this one could hardly serve all callers.
+    /// Hands the group over to a node with much more CPU that is linked again: this one could
+    /// hardly serve all callers.
     fn hand_over_to_larger_node(&mut self) {
         let Some(planner) = &mut self.planner else {
             return;
@@ -290,7 +293,7 @@
         let largest = steady.map(|link| link.cpu_permille).max().unwrap_or(0);
         planner.set_required_permille(largest);
         if largest >= HANDOVER_CPU_FACTOR * self.cpu_permille && !planner.is_releasing() {
-            log::info!(term = planner.term(), wanted_permille = largest; "group is handed to a larger node");
+            log::info!(term = planner.term(), wanted_permille = largest; "group is handed over to a node with more CPU");
             planner.release();
         }
     }
@@ -303,7 +306,7 @@
 
     fn accept_request(&mut self, pending: PendingRequest) {
         if self.planner.is_none() {
-            // Dropping the sender tells the front to look for the holder again.
+            // Dropping the sender makes the front look for the holder again.
             return;
         }
         self.next_request += 1;
@@ -318,8 +321,8 @@
         });
     }
 
-    /// Tells the present holder what this node has started and could not store: if an endpoint was lost with it, nobody
-    /// else knows.
+    /// Sends the current holder the starts that this node could not store: if an endpoint was lost
+    /// together with this node's claim, no other node knows them.
     fn send_unstored_starts(&mut self) {
         if self.unstored.is_empty() {
             return;
@@ -332,7 +335,7 @@
             }
             Leadership::Remote(link) => {
                 if link.send_unstored_starts(&self.unstored) {
-                    log::info!(starts = self.unstored.len(); "starts that were not stored handed over");
+                    log::info!(starts = self.unstored.len(); "unstored starts sent to the holder");
                     self.unstored.clear();
                 }
             }
@@ -352,11 +355,11 @@
         }
         self.heartbeat_due_ms = now + self.heartbeat_ms;
         self.hand_over_to_larger_node();
-        // A full queue shows in the status without a probe.
+        // A full queue shows in the status even without a probe.
         drop(self.sender.try_send(ControlEvent::Probe(Instant::now())));
         self.waiting.retain(|_, waiter| !waiter.is_closed());
         for link in self.links.values() {
-            // A follower that misses heartbeats gives the link up.
+            // A follower that misses heartbeats closes the link.
             drop(link.queue.try_send(heartbeat.clone()));
         }
     }
@@ -441,7 +444,7 @@
                 longest_ms = status.max_stretch_ms, open_steps = backlog.open_steps,
                 unsaved_jobs = backlog.unsaved_jobs, advice_calls = backlog.advice_calls,
                 links = self.links.len();
-                "control thread"
+                "control thread load"
             );
         }
     }
--- a/crates/chervilfall_node/src/control/actions.rs
+++ b/crates/chervilfall_node/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the planner wants done: orders and commits on the traffic thread, replies over links.
+//! Carries out the planner's actions: orders and commits on the traffic thread, replies over links.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Runs an order on the traffic thread and feeds what came of it to the planner of the term.
+    /// Runs an order on the traffic thread and feeds its result to the planner of the term.
     fn spawn_order<F>(&self, term: u64, order: F)
     where
         F: Future<Output = Event> + Send + 'static,
@@ -79,7 +79,7 @@
         let sender = self.sender.clone();
         self.traffic.spawn(async move {
             let event = order.await;
-            // The control thread ends with the process only.
+            // The control thread runs until the process ends, so the send does not fail.
             drop(
                 sender
                     .send(ControlEvent::ActionCompleted { term, event })
@@ -113,7 +113,7 @@
                     LookupResult::Failed
                 }
                 Err(error) => {
-                    log::info!(job:% = id, error:% = error; "ended job not looked up");
+                    log::info!(job:% = id, error:% = error; "look-up of an ended job failed");
                     LookupResult::Failed
                 }
             };
@@ -129,7 +129,7 @@
             let text = text.and_then(|row| decode_text(&row.value).ok());
             let text = text.map(Arc::from);
             if text.is_none() {
-                log::info!(job:% = id; "text not read");
+                log::info!(job:% = id; "job text could not be read");
             }
             Event::TextRead { id, text }
         });
@@ -141,7 +141,7 @@
             self.traffic.spawn(async move {
                 let number = order.number;
                 let answer = advisor.advise(order).await;
-                // The control thread ends with the process only.
+                // The control thread runs until the process ends, so the send does not fail.
                 drop(sender.send(ControlEvent::Advised { number, answer }).await);
             });
             return;
@@ -173,7 +173,7 @@
         };
         let link = self.links.get(&to.node);
         if link.is_some_and(|link| link.queue.try_send(reply).is_err()) {
-            log::warn!(follower = to.node, number = to.number; "reply lost, the follower does not read");
+            log::warn!(follower = to.node, number = to.number; "reply dropped, the follower's queue is full or closed");
         }
     }
 }
--- a/crates/chervilfall_node/src/link/follower.rs
+++ b/crates/chervilfall_node/src/link/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's side of a link.
+//! The follower's side of links.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -30,7 +30,7 @@
 }
 
 impl HolderLink {
-    /// Sends a request; returns false if the link cannot take it, in which case it was not sent.
+    /// Queues a request; returns false if the link cannot accept it, in which case it was not sent.
     pub(crate) fn send_request(&self, pending: PendingRequest) -> bool {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
@@ -47,13 +47,14 @@
         false
     }
 
-    /// Tells of starts that could not be stored; returns false if the link cannot take that.
+    /// Sends the starts that could not be stored; returns false if the link cannot accept them.
     pub(crate) fn send_unstored_starts(&self, starts: &[StartNote]) -> bool {
         let message = ToHolder::UnstoredStarts(starts.to_vec());
         self.queue.try_send(message).is_ok()
     }
 
-    /// Asks for the configuration that the holder has in force; a link that cannot take that is given up anyway.
+    /// Asks for the configuration that the holder has in force. Failure is ignored: a link that
+    /// cannot accept messages is closed anyway.
     pub(crate) fn ask_configuration(&self, known: Option<u64>) {
         let asked_ms = now_ms();
         drop(
@@ -82,15 +83,15 @@
     /// Nothing listens at the address: the process is gone.
     #[error("connection refused")]
     Refused,
-    /// No connection came about.
+    /// No connection was established.
     #[error("no connection: {0}")]
     Failed(String),
-    /// The link worked, and has ended.
+    /// The link was established and has ended.
     #[error("{0}")]
     Ended(LinkEnd),
 }
 
-/// Links to the holder and serves the link until it ends.
+/// Opens a link to the holder and serves it until it ends.
 pub(crate) async fn dial<A: Advisor>(
     address: SocketAddr,
     settings: &Settings,
@@ -118,7 +119,7 @@
         node: settings.node.clone(),
         cpu_permille: settings.cpu_permille(),
     };
-    // The queue is new and empty.
+    // The queue is new and empty, so this does not fail.
     drop(link.queue.try_send(hello));
     let writer = write(sink, receiver, silence);
     let beats = heartbeats(link.queue.clone(), timings.heartbeat_ms);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Takes a message; returns false if the peer is no holder.
+/// Handles a message; returns false if the peer is not the holder.
 fn handle_message<A: Advisor>(
     message: ToFollower,
     link: &Arc<HolderLink>,
@@ -208,7 +209,7 @@
             tokio::spawn(async move {
                 let number = order.number;
                 let answer = advisor.advise(order).await;
-                // A link that has ended is seen by its reader.
+                // The link's reader notices if the link has ended.
                 drop(link.queue.try_send(ToHolder::Advised { number, answer }));
             });
         }
--- a/crates/chervilfall_node/src/wait_bounds.rs
+++ b/crates/chervilfall_node/src/wait_bounds.rs
@@ -1,4 +1,4 @@
-//! How long a caller's request waits, by how long the caller does.
+//! How long a request waits, depending on how long its caller does.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 
 use crate::settings::Timings;
 
-/// Part of a caller's time, in percent, after which an answer must be on its way.
+/// Percentage of a caller's wait budget after which its answer must be sent.
 const ANSWER_PERCENT: u32 = 80;
-/// Part of a caller's time, in percent, that a submission waits for a holder or the store before it is
-/// refused. While the store is away nothing can be accepted, and what helps a caller is to be there when it
-/// returns: with half, a caller with 3 s is waiting for 1.9 s of them, with 0.6 s a try for
-/// 1.4 s. The other half is left for coming back, at another node if this one is at fault.
+/// Percentage of a caller's wait budget that a submission waits for a holder or the store before it
+/// is refused. While the store is unavailable nothing can be accepted, so it helps a caller to be
+/// waiting when the store returns: with half of the budget per attempt, a caller with 3 s is
+/// waiting for 1.9 s of them, with 0.6 s per attempt for 1.4 s. The other half is left for a retry,
+/// at another node if this one is at fault.
 const BEFORE_REFUSAL_PERCENT: u32 = 48;
 
-/// Bounds on the waits of one request, each from its arrival.
+/// Limits on the waits of one request, each counted from its arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitBounds {
-    /// Wait for the answer of a holder that was asked.
+    /// Wait for the answer of a holder that the request was sent to.
     pub answer: Duration,
     /// Wait for a holder or the store before a submission is refused.
     pub before_refusal: Duration,
-    /// Wait of other requests for a holder.
+    /// Wait for a holder of requests that are not submissions.
     pub other: Duration,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Returns how long a request waits for a holder that it can be passed on to.
+    /// Returns how long a request waits for a holder to forward it to.
     #[must_use]
     pub fn holder(&self, request: &Request) -> Duration {
         match request {
--- a/crates/chervilfall_node/src/watch/claim.rs
+++ b/crates/chervilfall_node/src/watch/claim.rs
@@ -22,13 +22,14 @@
 use crate::watch::takeover::RetainedRows;
 use crate::watch::DependencyStatus;
 
-/// Spread of the looks at the claim row.
+/// Maximum random delay between checks of the claim row.
 const POLL_JITTER_MS: u64 = 30;
-/// Commits of a holder that a slow store may take while the claim row stands still.
+/// Stall timeout with a slow store, in multiples of the duration of the last reading: enough for
+/// that many commits of the holder.
 const SLOW_STORE_FACTOR: u64 = 3;
-/// A reading of the claim row, or a claim, that is not answered for this long is joined by another.
+/// A reading of the claim row, or a claim, that is not answered for this long is sent again.
 const HEDGE_DELAY_MS: u64 = 150;
-/// Shortest pause before a holder is dialled again that does not serve yet.
+/// Shortest pause before dialing again a holder that does not serve yet.
 const MIN_REDIAL_PAUSE_MS: u64 = 20;
 /// Longest such pause.
 const MAX_REDIAL_PAUSE_MS: u64 = 400;
@@ -36,11 +37,11 @@
 struct HolderConnection {
     row: HolderRow,
     task: JoinHandle<()>,
-    /// Why there is no link, or none any more.
+    /// Receives the reason when dialing fails or the link ends.
     end: oneshot::Receiver<DialError>,
 }
 
-/// Links to one holder that have failed in a row.
+/// Consecutive failures of links to one holder.
 #[derive(Debug, Default)]
 struct LinkFailures {
     /// Term of the holder.
@@ -50,7 +51,8 @@
 }
 
 impl LinkFailures {
-    /// Notes a failure, and says so if it is another one than the last; returns the pause before the next try.
+    /// Records a failure, and logs it if it differs from the last one; returns the pause before the
+    /// next attempt.
     fn note(&mut self, holder: &HolderRow, error: &DialError) -> u64 {
         if self.term != holder.term || self.error.as_ref() != Some(error) {
             log::info!(holder = holder.node.as_str(), term = holder.term, error:% = error; "no link to the holder");
@@ -87,7 +89,8 @@
 }
 
 impl<P: Platform> ClaimWatch<P> {
-    /// Runs until a planned stop begins, and goes on to follow the next holder then.
+    /// Follows holders and claims the group if there is none; after a planned stop has begun, only
+    /// follows.
     pub(crate) async fn run(mut self) {
         let mut candidate = Candidate::new(Identity {
             node: self.settings.node.clone(),
@@ -110,7 +113,8 @@
                 self.check_claim(&mut candidate, &mut connection, &mut dependency)
                     .await
             };
-            // Candidates that look at the same moment would all claim; one wins, the others did it in vain.
+            // Candidates that check at the same moment would all send a claim, and only one can
+            // win.
             let jitter_ms = rand::rng().random_range(0..=POLL_JITTER_MS);
             let pause = Duration::from_millis(pause_ms + jitter_ms);
             if let Some(holder) = self
@@ -122,7 +126,7 @@
         }
     }
 
-    /// Reads the claim row and acts on it; returns when to look again.
+    /// Reads the claim row and acts on it; returns the time until the next check, in milliseconds.
     async fn check_claim(
         &mut self,
         candidate: &mut Candidate,
@@ -134,8 +138,8 @@
         let read = self.read_claim().await;
         let took_ms = now_ms().saturating_sub(began_ms);
         dependency.note(&read);
-        let nobody = matches!(self.leadership.current(), Leadership::NoHolder);
-        self.front.set_isolated(nobody && read.is_err());
+        let no_holder = matches!(self.leadership.current(), Leadership::NoHolder);
+        self.front.set_isolated(no_holder && read.is_err());
         let Ok(reading) = read else {
             candidate.record_unreadable();
             return pause_ms;
@@ -154,8 +158,8 @@
         }
     }
 
-    /// Waits, but not if the holder is lost meanwhile or a link ends; returns the holder if its address refused
-    /// the connection.
+    /// Waits for `pause`, or until the holder is lost or a link ends; returns the holder if its
+    /// address refused the connection.
     async fn wait_for_next_check(
         &self,
         pause: Duration,
@@ -182,14 +186,14 @@
         if error == DialError::Refused {
             return Some(ended.row);
         }
-        // Many nodes that dial at once would keep a holder busy that is about to serve.
+        // Many nodes that dial at the same time would burden a holder that is about to serve.
         let jitter_ms = rand::rng().random_range(0..=pause_ms / 2);
         tokio::time::sleep(Duration::from_millis(pause_ms + jitter_ms)).await;
         None
     }
 
-    /// Reads the claim row; a reading that is not answered soon is joined by another, as it may wait on a connection that has
-    /// gone silent for good.
+    /// Reads the claim row. A reading that is not answered soon is sent again in parallel, as it
+    /// may wait on a connection that has gone silent permanently.
     async fn read_claim_row(&self) -> Result<(Option<Row>, u64), StoreError> {
         let store = self.platform.store();
         let first = store.read_claim(&self.group);
@@ -226,7 +230,7 @@
         })
     }
 
-    /// Acts on a reading; returns when to look again.
+    /// Acts on a reading; returns the time until the next check, in milliseconds.
     async fn act_on_reading(
         &mut self,
         candidate: &mut Candidate,
@@ -283,8 +287,9 @@
         }
     }
 
-    /// Sends a claim; one that is not answered soon is sent again, as it may wait on a connection that has gone silent for
-    /// good. Whichever copy comes first, the other finds the claim moved.
+    /// Sends a claim. A claim that is not answered soon is sent again in parallel, as it may wait
+    /// on a connection that has gone silent permanently. Whichever copy arrives first, the other
+    /// finds that the claim row has changed.
     async fn commit_claim(&self, batch: Batch) -> CommitOutcome {
         let store = self.platform.store();
         let again = batch.clone();
@@ -324,7 +329,7 @@
         let (ended, end) = oneshot::channel();
         let task = tokio::spawn(async move {
             let error = dial(address, &settings, &front, &leadership, &advisor).await;
-            // The watch lives as long as the process.
+            // The claim watch runs until the process ends.
             drop(ended.send(error));
         });
         *connection = Some(HolderConnection {
@@ -344,7 +349,8 @@
     }
 }
 
-/// Returns the version of a claim that was won; a conflict may show the claim itself, carried out by another copy.
+/// Returns the version of the claim row if the claim was won; a conflict may show the claim itself,
+/// stored by another copy.
 fn claimed_version(outcome: &CommitOutcome, row: &HolderRow) -> Option<RowVersion> {
     match outcome {
         CommitOutcome::Stored { version, .. } => Some(*version),
--- a/crates/chervilfall_node/src/watch/configuration.rs
+++ b/crates/chervilfall_node/src/watch/configuration.rs
@@ -1,5 +1,5 @@
-//! Reads the configuration, so that a change is in force in time although some readings are never answered. A node whose
-//! readings are not answered asks the holder too.
+//! Reads the configuration, so that a change is in force in time even if some readings are never
+//! answered. A node whose readings are not answered also asks the holder.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use crate::ports::{ConfigurationReading, Store};
 use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
 
-/// Readings without an answer after which the holder is asked too.
+/// Number of unanswered readings from which the holder is asked too.
 const ASK_HOLDER_AFTER: usize = 2;
 
-/// Returns times by which a change is in force within a bound, although three readings in a row are not answered, or each
-/// takes half of the bound.
+/// Returns timings with which a change is in force within `apply_ms`, even if three readings in a
+/// row are not answered or each takes half of that time.
 const fn times_within(apply_ms: u64) -> ReadingTimes {
     ReadingTimes {
         poll_ms: apply_ms * 3 / 10,
@@ -37,14 +37,14 @@
     };
     let mut readings = HedgedReads::new("configuration", times_within(apply_ms));
     loop {
-        let step = tokio::select! {
-            next_event = readings.next_event() => next_event,
+        let event = tokio::select! {
+            event = readings.next_event() => event,
             () = reader.configuration.reading_requested() => {
                 readings.read_soon();
                 continue;
             }
         };
-        match step {
+        match event {
             ReadEvent::Due => {
                 if readings.unanswered() >= ASK_HOLDER_AFTER {
                     reader.ask_holder(&leadership);
@@ -67,14 +67,14 @@
 
 struct Reader {
     configuration: Arc<ConfigurationState>,
-    /// The newest row that was seen.
+    /// Version of the newest row that was read.
     known: Option<RowVersion>,
-    /// That row cannot be read, so that an older configuration is in force.
+    /// That row cannot be decoded, so an older configuration is in force.
     unreadable: bool,
 }
 
 impl Reader {
-    /// Asks the holder for its configuration, which the store may tell to it and not to this node.
+    /// Asks the holder for its configuration, as the store may answer the holder but not this node.
     fn ask_holder(&self, leadership: &LeadershipState) {
         if let Leadership::Remote(link) = leadership.current() {
             link.ask_configuration(self.configuration.version());
@@ -96,7 +96,7 @@
                 let in_force = self.configuration.version();
                 log::error!(
                     row = version, in_force = in_force, error:% = error;
-                    "configuration cannot be read, the one before stays in force"
+                    "configuration cannot be read, the previous one stays in force"
                 );
             }
         }
--- a/crates/chervilfall_node/src/watch/endpoints.rs
+++ b/crates/chervilfall_node/src/watch/endpoints.rs
@@ -1,5 +1,5 @@
-//! Reads the list of endpoints while this node holds the group, so that an endpoint that leaves gets no starts in time
-//! although some readings are never answered.
+//! Reads the list of endpoints while this node holds the group, so that starts to a leaving
+//! endpoint end in time even if some readings are never answered.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
 use crate::ports::Store;
 use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
 
-/// Returns times by which three readings in a row may be lost within a bound. Lists are long, so that another reading
-/// waits longer where answers take long.
+/// Returns timings with which three readings in a row may be lost within `drain_ms`. Lists are
+/// long, so the next reading waits longer if answers take long.
 pub(crate) const fn times_within(poll_ms: u64, drain_ms: u64) -> ReadingTimes {
     ReadingTimes {
         poll_ms,
@@ -38,7 +38,8 @@
                     let store = store.clone();
                     readings.begin(async move { store.read_endpoints().await });
                 }
-                // A list that was asked for later may have been read sooner: none goes back behind another.
+                // A list that was requested later may have been read earlier, so older versions are
+                // dropped.
                 ReadEvent::Answered { began_ms, value } if value.version >= newest => {
                     newest = value.version;
                     send_entries(&control, began_ms, value.entries).await;
@@ -54,7 +55,7 @@
     read_ms: u64,
     entries: Vec<EndpointEntry>,
 ) {
-    // The control thread ends with the process only.
+    // The control thread runs until the process ends, so the send does not fail.
     let event = ControlEvent::Endpoints { read_ms, entries };
     drop(control.send(event).await);
 }
--- a/crates/chervilfall_node/src/watch/hedged_reads.rs
+++ b/crates/chervilfall_node/src/watch/hedged_reads.rs
@@ -1,7 +1,7 @@
-//! Readings of the store of which some are never answered.
+//! Hedged readings of the store, of which some are never answered.
 //!
-//! A reading that is not answered soon does not hold up the next one: it may wait on a connection that has gone silent
-//! for good, and whether it has can't be told from a store that is slow.
+//! A reading that is not answered soon does not delay the next one: it may wait on a connection
+//! that has gone silent permanently, which cannot be distinguished from a slow store.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use crate::ports::StoreError;
 use crate::watch::DependencyStatus;
 
-/// Readings that may be on their way at the same time.
+/// Maximum number of readings in flight.
 const MAX_IN_FLIGHT: usize = 4;
-/// Pause after a reading that was refused, and the shortest between two.
+/// Pause after a refused reading, and the minimum time between two readings.
 pub(crate) const RETRY_MS: u64 = 150;
 
 /// When the next reading begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReadingTimes {
-    /// From the begin of one that was answered.
+    /// Time since the start of a reading that was answered.
     pub(crate) poll_ms: u64,
-    /// From the begin of one that is not answered, at least.
+    /// Minimum time since the start of a reading that is not answered.
     pub(crate) min_hedge_ms: u64,
-    /// From the begin of one that is not answered, at most.
+    /// Maximum time since the start of a reading that is not answered.
     pub(crate) max_hedge_ms: u64,
 }
 
 impl ReadingTimes {
-    /// Returns when a reading that is not answered is joined by another one: later if answers take long, so that a thin
-    /// link is not filled with the same answer several times.
+    /// Returns the time after which another reading is sent beside an unanswered one: longer if
+    /// answers take long, so that a slow link does not carry the same answer several times.
     fn hedge_ms(&self, last_took_ms: u64) -> u64 {
         (2 * last_took_ms).clamp(self.min_hedge_ms, self.max_hedge_ms)
     }
 }
 
-/// What a reader has to do next.
+/// What a reader has to handle next.
 #[derive(Debug)]
 pub(crate) enum ReadEvent<T> {
     /// A reading is due.
@@ -48,7 +48,7 @@
         /// What it shows.
         value: T,
     },
-    /// Nothing.
+    /// Nothing to handle.
     None,
 }
 
@@ -58,23 +58,23 @@
     read: Result<T, StoreError>,
 }
 
-/// Readings of one thing.
+/// Readings of one item of the store.
 pub(crate) struct HedgedReads<T> {
     times: ReadingTimes,
     dependency: DependencyStatus,
     running: JoinSet<Reading<T>>,
-    /// Readings that are on their way, and when they began.
+    /// Readings in flight, and when they began.
     pending: Vec<(u64, AbortHandle)>,
     due_ms: u64,
     last_began_ms: u64,
-    /// When the latest of those began that were answered.
+    /// When the latest reading that was answered began.
     answered_ms: u64,
     last_took_ms: u64,
     failed_in_a_row: usize,
 }
 
 impl<T: Send + 'static> HedgedReads<T> {
-    /// Returns readings of which the first is due now.
+    /// Creates readings of which the first is due now.
     pub(crate) fn new(name: &'static str, times: ReadingTimes) -> Self {
         Self {
             times,
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Returns how many readings are not answered: those on their way, and the last ones that failed.
+    /// Returns the number of unanswered readings: those in flight, and the last consecutive
+    /// failures.
     pub(crate) fn unanswered(&self) -> usize {
         self.pending.len() + self.failed_in_a_row
     }
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Begins a reading.
+    /// Starts a reading.
     pub(crate) fn begin(
         &mut self,
         read: impl Future<Output = Result<T, StoreError>> + Send + 'static,
@@ -119,7 +120,8 @@
         self.due_ms = began_ms + self.times.hedge_ms(self.last_took_ms);
     }
 
-    /// Lets the next reading begin now, unless one has begun just now.
+    /// Makes the next reading due now, or `RETRY_MS` after the start of the last one if that is
+    /// later.
     pub(crate) fn read_soon(&mut self) {
         let soonest_ms = self.last_began_ms + RETRY_MS;
         self.due_ms = self.due_ms.min(now_ms().max(soonest_ms));
@@ -130,7 +132,7 @@
             Ok(reading) => reading,
             Err(error) => {
                 if !error.is_cancelled() {
-                    log::error!(error:% = error; "reading ended badly");
+                    log::error!(error:% = error; "reading task failed");
                 }
                 return ReadEvent::None;
             }
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Gives up readings that could tell only what is known, and plans the next one.
+    /// Aborts older readings, which cannot return anything newer, and schedules the next one.
     fn answered(&mut self, began_ms: u64, value: T) -> ReadEvent<T> {
         self.failed_in_a_row = 0;
         self.pending.retain(|(other_ms, handle)| {
@@ -177,7 +179,7 @@
                 "reading failed again"
             );
         }
-        // What is malformed now is malformed again a moment later.
+        // A malformed answer would be malformed again on an early retry.
         let pause_ms = match error {
             StoreError::Malformed(_) => self.times.poll_ms,
             StoreError::Refused(_) | StoreError::Unanswered(_) => RETRY_MS,
--- a/crates/chervilfall_node/src/watch/mod.rs
+++ b/crates/chervilfall_node/src/watch/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::ports::StoreError;
 
-/// Says once when a dependency is lost and once when it is back.
+/// Logs once when a dependency is lost and once when it is available again.
 #[derive(Debug)]
 pub(crate) struct DependencyStatus {
     name: &'static str,
--- a/crates/chervilfall_node/src/watch/pages.rs
+++ b/crates/chervilfall_node/src/watch/pages.rs
@@ -1,4 +1,4 @@
-//! Reads a table page by page, in pages that the way to the store can carry.
+//! Reads a table page by page, with page sizes that the link to the store can carry.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 /// Rows of the first page.
 const INITIAL_ROWS: usize = 100;
-/// Most rows of a page.
+/// Maximum number of rows of a page.
 const MAX_ROWS: usize = 500;
-/// A page that came within this is followed by one of twice its rows.
+/// A page that arrived within this time is followed by one with twice its rows.
 const FAST_PAGE_MS: u64 = 200;
-/// Pages without an answer are followed by ones with so many times fewer rows.
+/// Factor by which the number of rows shrinks after a failed page.
 const SHRINK_FACTOR: usize = 4;
-/// Pause after a page that did not come.
+/// Pause after a failed page.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// How many rows the next page has: on a thin link a large one would never come within its bound.
+/// Number of rows of the next page: on a slow link a large page would never arrive in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageSize {
     rows: usize,
@@ -36,36 +36,36 @@
         self.rows
     }
 
-    /// Takes note of a page that came after some time.
+    /// Records a page that arrived after `took_ms`.
     pub fn record_page(&mut self, took_ms: u64) {
         if took_ms <= FAST_PAGE_MS {
             self.rows = (self.rows * 2).min(MAX_ROWS);
         }
     }
 
-    /// Takes note of a page that did not come.
+    /// Records a failed page.
     pub fn record_failure(&mut self) {
         self.rows = (self.rows / SHRINK_FACTOR).max(1);
     }
 }
 
-/// How far readings have come.
+/// Counts of what was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReadCounts {
     pub(super) rows: u64,
     /// Bytes of their values.
     pub(super) bytes: u64,
-    /// Pages that did not come.
+    /// Number of failed pages.
     pub(super) failed_pages: u64,
 }
 
-/// What all readings of a group have brought.
+/// Progress of all readings of a group.
 #[derive(Debug)]
 pub(super) struct Progress {
     rows: AtomicU64,
     bytes: AtomicU64,
     failed_pages: AtomicU64,
-    /// When a page came last, in milliseconds.
+    /// When the last page arrived, in milliseconds.
     last_ms: AtomicU64,
 }
 
@@ -90,7 +90,7 @@
         self.failed_pages.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns how long ago a page came last.
+    /// Returns the time since the last page arrived.
     pub(super) fn since_last_page_ms(&self) -> u64 {
         now_ms().saturating_sub(self.last_ms.load(Ordering::Relaxed))
     }
@@ -105,7 +105,7 @@
     }
 }
 
-/// A table that is being read. What has come stays when a page does not come.
+/// A table that is being read. Pages that have arrived are kept when a page fails.
 #[derive(Debug)]
 pub(super) struct TableReader {
     table: &'static str,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Reads the next page; returns nothing once there are no more.
+    /// Reads the next page, with retries; returns `None` once there are no more.
     pub(super) async fn next<S: Store>(
         &mut self,
         store: &S,
@@ -155,7 +155,7 @@
     fn record_failure(&mut self, error: &StoreError, progress: &Progress) {
         log::warn!(
             table = self.table, rows = self.size.rows(), error:% = error;
-            "page of the group's rows did not come"
+            "page of the group's rows could not be read"
         );
         progress.record_failure();
         self.size.record_failure();
--- a/crates/chervilfall_node/src/watch/recovery.rs
+++ b/crates/chervilfall_node/src/watch/recovery.rs
@@ -1,7 +1,7 @@
-//! Reads what earlier holders have left.
+//! Reads the rows that earlier holders have stored.
 //!
-//! A new holder serves as soon as it knows the open jobs, the endpoints and the latest starts. Texts of jobs and jobs that
-//! have ended are most of the bytes; it reads them while it serves.
+//! A new holder serves as soon as it knows the open jobs, the endpoints and the latest starts.
+//! Texts of jobs and ended jobs are most of the bytes; they are read while it serves.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -14,8 +14,8 @@
 use crate::ports::{Row, Store, StoreError};
 use crate::watch::pages::{Progress, TableReader};
 
-/// The rows that a holder needs before it serves. Nothing but the claim changes them, so that what has come stays good for
-/// as long as nobody else has claimed the group.
+/// The rows that a holder needs before it serves. They change only under the claim, so what was
+/// read stays valid as long as no other node has claimed the group.
 pub(super) struct GroupReader {
     jobs: Table<(JobId, JobRow)>,
     progress: Table<(JobId, ProgressRow)>,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Reads what has not come yet.
+    /// Reads the rows that were not read yet.
     ///
     /// # Errors
     ///
-    /// Returns an error if a row cannot be decoded, which stops the takeover: to take it for absent would forget a job or a
-    /// lease.
+    /// Returns an error if a row cannot be decoded, which stops the takeover: treating the row as
+    /// absent would lose a job or a lease.
     pub(super) async fn read<S: Store>(
         &mut self,
         store: &S,
@@ -64,7 +64,7 @@
     }
 }
 
-/// A table with what has been read of it.
+/// A table and the values read from it so far.
 struct Table<T> {
     reader: TableReader,
     values: Vec<T>,
@@ -94,10 +94,11 @@
     }
 }
 
-/// Reads texts, then ended jobs, and passes them on until `send` says that nobody wants them any more.
+/// Reads texts, then ended jobs, and passes them on until `send` returns that they are no longer
+/// needed.
 ///
-/// A row that cannot be decoded concerns one job: that job's tasks are not started, or its name is not taken for new, and the
-/// others go on. So what is missing is never said to be all.
+/// A row that cannot be decoded affects one job: its tasks are not started, or its name is not
+/// treated as new; other jobs are unaffected. The table is then never reported as completely read.
 pub(super) async fn read_history<S: Store, F: Future<Output = bool>>(
     store: &S,
     group: &str,
@@ -134,7 +135,7 @@
     );
 }
 
-/// Decodes what can be decoded, and counts the other rows.
+/// Decodes the rows that can be decoded, and counts the others.
 fn decode_rows<T>(
     rows: &[Row],
     decode: fn(&Row) -> Result<T, StoreError>,
--- a/crates/chervilfall_node/src/watch/takeover.rs
+++ b/crates/chervilfall_node/src/watch/takeover.rs
@@ -1,4 +1,4 @@
-//! From a claim to a holder that serves: reads the group's rows, keeps the claim alive meanwhile, or hands it back.
+//! Takes over a claimed group: reads its rows, renews the claim meanwhile, or hands it back.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,15 @@
 use crate::watch::pages::Progress;
 use crate::watch::recovery::{read_history, GroupReader};
 
-/// Time between renewals of a claim whose rows are being read: a third of the standstill
-/// that holds meanwhile.
+/// Interval between renewals of the claim while rows are read: a third of the stall timeout that
+/// applies meanwhile.
 const RENEW_MS: u64 = 400;
-/// A claim is handed back if no page of the rows has come for this long: some times the bound of a page.
+/// The claim is handed back if no page of the rows has arrived for this long: several times the
+/// time limit of a page.
 const NO_PROGRESS_LIMIT_MS: u64 = 3_000;
-/// Time between lines that say how far a reading of the rows has come.
+/// Interval between log lines on the progress of reading the rows.
 const PROGRESS_LOG_INTERVAL_MS: u64 = 1_000;
-/// Somebody else has claimed the group.
+/// Another node has claimed the group.
 struct ClaimLost;
 
 /// Rows that were read under a claim which was handed back.
@@ -30,9 +31,9 @@
 }
 
 impl<P: Platform> ClaimWatch<P> {
-    /// Reads the rows of the group that was claimed, and keeps the claim alive meanwhile: a machine with a slow link can
-    /// take longer than the claim may stand still. The claim is handed back if nothing comes, so that nodes which can read
-    /// the rows are not kept from them.
+    /// Reads the rows of the claimed group and renews the claim meanwhile: a machine with a slow
+    /// link can take longer than the stall timeout of the claim. The claim is handed back if
+    /// nothing arrives, so that nodes that can read the rows are not kept from taking over.
     pub(super) async fn load_rows(
         &mut self,
         candidate: &mut Candidate,
@@ -85,7 +86,7 @@
                 self.hand_back(candidate, &mut takeover).await;
             }
             None => {
-                log::warn!(term = takeover.row.term, still_ms = progress.since_last_page_ms(); "group's rows do not come, claim handed back");
+                log::warn!(term = takeover.row.term, still_ms = progress.since_last_page_ms(); "no page of the group's rows arrived in time, claim handed back");
                 self.hand_back(candidate, &mut takeover).await;
                 let term = takeover.row.term;
                 self.retained = Some(RetainedRows { term, rows });
@@ -94,16 +95,18 @@
         self.set_recovering(false).await;
     }
 
-    /// Returns what was read under an earlier claim of this process, if nobody has held the group since.
+    /// Returns the rows read under an earlier claim of this process, if no other node has held the
+    /// group since.
     fn retained_rows(&mut self, takeover: &Takeover) -> GroupReader {
         let retained = self.retained.take();
         let retained = retained.filter(|retained| retained.term + 1 == takeover.row.term);
         retained.map_or_else(GroupReader::new, |retained| retained.rows)
     }
 
-    /// Tells the control thread whether rows are being read, so that links to this node last until it serves.
+    /// Notifies the control thread whether rows are being read, so that links to this node stay
+    /// open until it serves.
     async fn set_recovering(&self, recovering: bool) {
-        // The control thread ends with the process only.
+        // The control thread runs until the process ends, so the send does not fail.
         drop(
             self.control
                 .send(ControlEvent::Recovering(recovering))
@@ -118,9 +121,10 @@
             stored: rows.into_stored(),
             claimed_ms,
         };
-        // The control thread ends with the process only.
+        // The control thread runs until the process ends, so the send does not fail.
         drop(self.control.send(event).await);
-        // The control thread says when it has taken over; until then nothing is claimed.
+        // The control thread sets the leadership once it has taken over; until then nothing is
+        // claimed.
         let held = self
             .leadership
             .wait_until(|leadership| matches!(leadership, Leadership::Local));
@@ -128,7 +132,7 @@
         self.read_history(term);
     }
 
-    /// Reads in the background what the new holder can serve without.
+    /// Reads in the background the rows that the new holder can serve without.
     fn read_history(&self, term: u64) {
         let (store, group) = (self.platform.store().clone(), self.group.clone());
         let (control, leadership) = (self.control.clone(), Arc::clone(&self.leadership));
@@ -149,11 +153,11 @@
         candidate.back_off(now_ms());
         let batch = Candidate::hand_back(takeover);
         let outcome = self.platform.store().commit(&self.group, batch).await;
-        // Without an answer the claim lapses by its standstill.
+        // Without an answer the claim lapses by its stall timeout.
         log::info!(term = takeover.row.term, outcome = outcome.label(); "claim handed back");
     }
 
-    /// Renews a claim; returns whether that is confirmed.
+    /// Renews the claim; returns whether the store confirmed that.
     async fn renew(&self, takeover: &mut Takeover) -> Result<bool, ClaimLost> {
         let batch = Candidate::renewal(takeover);
         let number = batch.number;
@@ -177,8 +181,8 @@
         Ok(true)
     }
 
-    /// Reads the configuration after the claim was won: it is at least as new then as any that an earlier holder went by,
-    /// so that no job goes back to older terms.
+    /// Reads the configuration after the claim was won: it is then at least as new as any that an
+    /// earlier holder used, so that no job goes back to an older configuration.
     async fn read_configuration(&self) {
         let configuration = self.front.configuration();
         let since_ms = now_ms();
@@ -189,7 +193,7 @@
                 Ok(ConfigurationReading::Changed { table, .. }) => {
                     configuration.put_in_force(Arc::new(table), since_ms);
                 }
-                // The reader says why, and tries again.
+                // The configuration watch logs the error and retries.
                 Ok(_) | Err(_) => std::future::pending().await,
             }
         };
@@ -200,13 +204,13 @@
         if !read {
             log::warn!(
                 version = configuration.version(), age_ms = configuration.age_ms();
-                "configuration not read, group taken over by the one in force"
+                "configuration not read, group taken over with the one in force"
             );
         }
     }
 }
 
-/// Says how far a reading of the rows has come.
+/// Reports the progress of reading the rows.
 fn report_progress(takeover: &Takeover, progress: &Progress, began_ms: u64) {
     let counts = progress.counts();
     let took_ms = now_ms().saturating_sub(began_ms);
@@ -215,6 +219,6 @@
     metrics::gauge!("chervilfall_recovery_seconds").set(took_ms as f64 / 1_000.0);
     log::info!(
         term = takeover.row.term, rows = counts.rows, bytes = counts.bytes, missed = counts.failed_pages, took_ms = took_ms;
-        "group's rows are read"
+        "progress of reading the group's rows"
     );
 }
--- a/crates/chervilfall_node/tests/load.rs
+++ b/crates/chervilfall_node/tests/load.rs
@@ -1,4 +1,4 @@
-//! What the status of the control thread says of its work.
+//! Status of the control thread's load.
 
 use std::time::{Duration, Instant};
 
@@ -68,6 +68,6 @@
         }
         let now = began + Duration::from_millis(case.passed_ms);
         assert_eq!(load.status(now), case.status, "{}", case.name);
-        assert_eq!(load.status(now), None, "{}: begins anew", case.name);
+        assert_eq!(load.status(now), None, "{}: starts over", case.name);
     }
 }
--- a/crates/chervilfall_node/tests/settings.rs
+++ b/crates/chervilfall_node/tests/settings.rs
@@ -22,7 +22,7 @@
             expected: "missing field `store`",
         },
         Case {
-            name: "an address that is none",
+            name: "an invalid address",
             more: "advice: nowhere\n",
             without: "",
             expected: "advice",
@@ -40,7 +40,7 @@
             expected: "timings.silence_ms",
         },
         Case {
-            name: "no ticks",
+            name: "ticks of no length",
             more: "timings:\n  tick_ms: 0\n",
             without: "",
             expected: "timings.tick_ms",
@@ -52,19 +52,19 @@
             expected: "capacity_notice_ms",
         },
         Case {
-            name: "configurations in force at once",
+            name: "time to put configurations in force too short",
             more: "config_apply_ms: 100\n",
             without: "",
             expected: "config_apply_ms",
         },
         Case {
-            name: "endpoints left sooner than two readings of the list",
+            name: "drain time shorter than two readings of the list",
             more: "drain_ms: 900\n",
             without: "",
             expected: "drain_ms",
         },
         Case {
-            name: "no processor",
+            name: "no CPU",
             more: "cpu_cores: 0\n",
             without: "",
             expected: "cpu_cores",
--- a/crates/chervilfall_node/tests/wait_bounds.rs
+++ b/crates/chervilfall_node/tests/wait_bounds.rs
@@ -1,22 +1,22 @@
-//! How long requests wait, by their callers' patience.
+//! How long requests wait, depending on their callers' wait budgets.
 
 use std::time::Duration;
 
 use chervilfall_node::{Timings, WaitBounds};
 use chervilfall_planner::{Asker, JobId, Request};
 
-/// How long a caller waits for all its tries together.
+/// How long a caller waits for all its attempts together.
 const WAIT_BUDGET_MS: u64 = 3_000;
 /// Pause of a caller after a refusal: about 0.85 s at first, then half of what is left.
 const PAUSE_MS: u64 = 850;
 
-/// A caller that comes back until its patience ends.
+/// A caller that retries until its wait budget is used up.
 struct Caller {
     left_ms: u64,
 }
 
 impl Caller {
-    /// Returns for how long some try of it waits for the store.
+    /// Returns the total time that its attempts wait for the store.
     fn waits_ms(mut self, timings: &Timings) -> u64 {
         let mut waits_ms = 0;
         while self.left_ms > 50 {
@@ -51,21 +51,21 @@
     }
     let cases = [
         Case {
-            name: "a usual caller is refused before half of its time is over",
+            name: "a usual caller is refused before half of its wait budget is used up",
             wait_budget_ms: Some(3_000),
             before_refusal_ms: 1_440,
             answer_ms: 2_400,
             other_ms: 1_200,
         },
         Case {
-            name: "a caller in a hurry",
+            name: "a caller with a short wait budget",
             wait_budget_ms: Some(500),
             before_refusal_ms: 240,
             answer_ms: 400,
             other_ms: 400,
         },
         Case {
-            name: "a caller that does not say",
+            name: "a caller with an unknown wait budget",
             wait_budget_ms: None,
             before_refusal_ms: 1_200,
             answer_ms: 2_000,
--- a/crates/chervilfall_planner/tests/world/mod.rs
+++ b/crates/chervilfall_planner/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A small world in virtual time for planners: a store, endpoints, an advice service, and an
-//! oracle that looks at what endpoints and callers see.
+//! A simulation of planners in virtual time: nodes, a store, endpoints, an advice service, and an
+//! oracle that checks what endpoints and callers observe.
 
 #![allow(dead_code)]
 
@@ -24,21 +24,21 @@
 use random::Random;
 use store::FakeStore;
 
-/// Milliseconds that an order or a transaction takes each way.
+/// One-way network delay of an order or a transaction, in milliseconds.
 const ONE_WAY_DELAY_MS: u64 = 2;
-/// Time of day when the world begins, in milliseconds since 1970.
+/// Time of day at the start of the simulation, in milliseconds since 1970.
 const START_UNIX_MS: u64 = 1_700_000_000_000;
-/// Milliseconds after which a caller of an endpoint or the store gives up.
+/// Milliseconds after which a call to an endpoint or to the store times out.
 const TIMEOUT_MS: u64 = 500;
 
-/// Something that happens later.
+/// Something that is due at a later time.
 #[derive(Debug, Clone)]
 pub enum ScheduledEvent {
-    /// An order reaches its endpoint.
+    /// An order reaches its endpoint: sending node, its term, the order, when it was sent.
     DeliverOrder(usize, u64, Box<Action>, u64),
-    /// An event reaches a planner of a term.
+    /// An event reaches a node's planner, if it still has this term.
     DeliverEvent(usize, u64, Box<Event>),
-    /// A transaction reaches the store.
+    /// A transaction of a node and term reaches the store; the flag tells whether it is answered.
     ApplyCommit(usize, u64, Box<Batch>, bool),
 }
 
@@ -49,17 +49,17 @@
     pub frozen_until_ms: u64,
     pub cut_until_ms: u64,
     pub store_cut_until_ms: u64,
-    /// When its process was started after a kill.
+    /// When its process was last started after a kill.
     pub began_ms: u64,
-    /// Failure domain; the store stands in domain 0.
+    /// Failure domain; the store is in domain 0.
     pub domain: usize,
     pub replies: BTreeMap<u64, Answer>,
-    /// What it has started as a holder and could not store.
+    /// Starts that it ordered as the holder and could not store.
     pub unstored: Vec<StartNote>,
     pub keys: BTreeMap<EndpointKey, EndpointId>,
 }
 
-/// The world.
+/// The simulation: all nodes, the store, the endpoints and the faults in force.
 pub struct World {
     pub now: u64,
     pub limits: Limits,
@@ -71,40 +71,40 @@
     pub scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     pub sequence: u64,
     pub random: Random,
-    /// Part of the orders, in percent, that get no answer and are carried out late.
+    /// Percentage of orders that are not answered and are carried out late.
     pub late_percent: u64,
-    /// When an answer of the store could last be lost.
+    /// Last time at which an answer of the store could be lost.
     store_lossy_ms: u64,
-    /// Failure domains are cut off from each other until then.
+    /// Failure domains cannot reach each other until then.
     pub partitioned_until_ms: u64,
-    /// Tasks that are done, by noted ends.
+    /// Broken invariants that were found so far.
     pub violations: Vec<String>,
-    /// Faults and takeovers, for stories.
+    /// Faults and takeovers, for [`World::event_log`].
     pub faults: Vec<(u64, String)>,
     /// Nodes that can call for advice.
     pub advisors: u32,
-    /// Calls for advice take as long as the queue's terms say, in place of 15 ms.
+    /// Calls for advice take as long as the queue's timings say, instead of 15 ms.
     pub advice_timed: bool,
-    /// Part of the endpoints, in percent, that the advice service allows a step.
+    /// Percentage of endpoints that the advice service allows a step.
     pub advice_percent: u64,
-    /// Time that planners took for their events.
+    /// Processor time that planners spent on their events.
     pub planning: Duration,
     pub jobs: BTreeMap<JobId, JobSpec>,
     pub accepted: BTreeSet<JobId>,
     pub refused: BTreeSet<JobId>,
     pub cancelled: BTreeSet<JobId>,
-    /// Jobs whose tasks bring their endpoints down.
+    /// Jobs whose tasks crash their endpoints.
     pub crashing: BTreeMap<JobId, CrashBehavior>,
-    /// The list shows what endpoints have last said of themselves, in place of what they are.
+    /// Planners read the last entry that an endpoint has written, instead of its current state.
     pub uses_reported_entries: bool,
-    /// Crashed endpoints come back after this time.
+    /// Crashed endpoints are replaced after this time.
     pub restart_delay_ms: u64,
-    /// They start again under the name that they had.
+    /// Replacements of crashed endpoints keep their name.
     keeps_names: bool,
     next_request: u64,
 }
 
-/// Returns a step of tasks of one core each.
+/// Returns a step whose tasks need one core each.
 pub fn step(count: u32, work_ms: u64) -> Step {
     Step {
         count,
@@ -184,13 +184,13 @@
         }
     }
 
-    fn schedule(&mut self, delay_ms: u64, scheduled: ScheduledEvent) {
+    fn schedule(&mut self, delay_ms: u64, event: ScheduledEvent) {
         self.sequence += 1;
         self.scheduled
-            .insert((self.now + delay_ms, self.sequence), scheduled);
+            .insert((self.now + delay_ms, self.sequence), event);
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by this time.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while self.now < end {
@@ -200,10 +200,10 @@
             }
             self.deliver_due_events();
             let now = self.now;
-            let store_away = self.store.down_until_ms > now;
+            let store_down = self.store.down_until_ms > now;
             for endpoint in self.endpoints.values_mut() {
                 endpoint.advance(now, &mut self.violations);
-                endpoint.write_report(now, store_away);
+                endpoint.write_report(now, store_down);
             }
             self.break_gangs_with_lost_members();
             self.restart_crashed_endpoints();
@@ -215,7 +215,11 @@
         }
     }
 
-    /// Lets time pass until `done` holds; panics with the violations if it does not in time.
+    /// Advances the simulation until `done` holds.
+    ///
+    /// # Panics
+    ///
+    /// Panics with the violations found if `done` does not hold within `bound_ms`.
     pub fn run_until(&mut self, bound_ms: u64, done: impl Fn(&Self) -> bool) {
         let end = self.now + bound_ms;
         while self.now < end {
@@ -245,7 +249,7 @@
                 ScheduledEvent::ApplyCommit(node, term, batch, answered) => {
                     let outcome = self.store.commit(self.now, &batch);
                     if answered && self.now < self.store.down_until_ms {
-                        // The store went away while the call was on its way.
+                        // The store became unreachable while the call was in flight.
                         continue;
                     }
                     if answered {
@@ -265,12 +269,12 @@
         }
     }
 
-    /// Ends the members of gangs of which one was lost in a crash.
+    /// Ends the remaining members of gangs that have lost a member in a crash.
     fn break_gangs_with_lost_members(&mut self) {
         let crashed = self.endpoints.values_mut();
         let lost_runs = crashed.flat_map(|endpoint| std::mem::take(&mut endpoint.lost_runs));
-        let lost: Vec<_> = lost_runs.collect();
-        for (member, run) in lost {
+        let lost_runs: Vec<_> = lost_runs.collect();
+        for (member, run) in lost_runs {
             let steps = self.jobs.get(&member.job).map(|job| &job.steps);
             let step = steps.and_then(|steps| steps.get(usize::from(member.step)));
             if !step.is_some_and(|step| step.gang) {
@@ -285,36 +289,36 @@
         }
     }
 
-    /// Puts a new incarnation in the place of each endpoint that crashed some time ago.
+    /// Starts a new incarnation of each endpoint that crashed at least `restart_delay_ms` ago.
     fn restart_crashed_endpoints(&mut self) {
         let (now, restart_delay_ms) = (self.now, self.restart_delay_ms);
         let due = self.endpoints.values_mut().filter(|endpoint| {
             let crashed = endpoint.crashed;
             !endpoint.replaced && crashed.is_some_and(|(at_ms, _)| now >= at_ms + restart_delay_ms)
         });
-        let mut back = Vec::new();
+        let mut replacements = Vec::new();
         for endpoint in due {
             if self.keeps_names {
-                // The time of day may have stepped back since the last start.
+                // The wall clock may have been set back since the last start.
                 let stepped_ms = self.random.below(2) * self.random.below(20_000);
                 let born_ms = START_UNIX_MS + now - stepped_ms;
                 endpoint.start_again(now, born_ms, self.random.below(200_000));
                 self.faults
-                    .push((now, format!("fault {} has started again", endpoint.id)));
+                    .push((now, format!("fault {} has restarted", endpoint.id)));
                 continue;
             }
             endpoint.replaced = true;
             endpoint.listed = false;
-            back.push(endpoint.next_incarnation(0));
+            replacements.push(endpoint.next_incarnation(0));
         }
-        for endpoint in back {
+        for endpoint in replacements {
             let number = self.endpoints.len();
             let endpoint = endpoint.next_incarnation(number);
             self.endpoints.insert(endpoint.id.clone(), endpoint);
         }
     }
 
-    /// Lets endpoints keep their names when they start again, and say when they were started.
+    /// Makes endpoints keep their names when they restart, and report when they were started.
     pub fn keep_names(&mut self) {
         self.keeps_names = true;
         for endpoint in self.endpoints.values_mut() {
@@ -322,7 +326,7 @@
         }
     }
 
-    /// Returns the starts of a task, and the crashes that it caused, in order of time.
+    /// Returns the times of a task's starts and of the crashes that it caused, each in order.
     pub fn starts_and_crashes(&self, task: TaskKey) -> (Vec<u64>, Vec<u64>) {
         let starts = self
             .endpoints
@@ -338,7 +342,7 @@
         (starts, crashes)
     }
 
-    /// Returns how many starts a job has had, and how many endpoints it has crashed.
+    /// Returns the number of starts of a job's tasks and of the crashes that they caused.
     pub fn starts_and_crashes_of(&self, job: JobId) -> (usize, usize) {
         let starts = self
             .endpoints
@@ -350,12 +354,14 @@
         (starts, culprits.filter(|task| task.job == job).count())
     }
 
-    /// Returns how many endpoints have crashed under one task of a job, whoever caused it.
+    /// Returns the highest number of endpoint crashes during runs of one task of a job, whatever
+    /// caused them.
     pub fn max_crashes_under(&self, job: JobId) -> usize {
         oracle::max_crashes_under(&self.endpoints, job)
     }
 
-    /// Returns whether a task of the job has failed as often as its queue allows, by what endpoints have reported.
+    /// Returns whether a task of the job has used all attempts of its queue, according to the
+    /// failures that endpoints have reported.
     pub fn has_used_attempts(&self, job: JobId) -> bool {
         let attempts = self.queue.attempts as usize;
         oracle::has_used_attempts(&self.endpoints, &self.jobs, job, attempts)
@@ -365,7 +371,8 @@
         oracle::check_overlaps(self.endpoints.values(), self.now, &mut self.violations);
     }
 
-    /// Returns what was seen of every task that a violation names, in order of time.
+    /// Returns the starts and ends of every task and endpoint that a violation names, and all
+    /// faults, in order of time.
     pub fn event_log(&self) -> String {
         let mut lines: Vec<(u64, String)> = Vec::new();
         for endpoint in self.endpoints.values() {
@@ -376,7 +383,7 @@
             for (task, run, how, at_ms) in &endpoint.acknowledged_ends {
                 lines.push((
                     *at_ms,
-                    format!("{task} run {run} ends {how:?} on {id}, noted"),
+                    format!("{task} run {run} ends {how:?} on {id}, acknowledged"),
                 ));
             }
         }
@@ -397,7 +404,7 @@
         lines.join("\n")
     }
 
-    /// Looks at the whole history.
+    /// Checks the whole history for violations.
     pub fn check_history(&mut self) {
         let attempts = self.queue.attempts as usize;
         oracle::check_history(
@@ -418,7 +425,7 @@
             .map(|(_, number)| number)
     }
 
-    /// Kills a node's process; it starts anew at once.
+    /// Kills a node's process, which restarts at once.
     pub fn kill(&mut self, node: usize) {
         let incarnation = 1_000 + self.sequence;
         let state = &mut self.nodes[node];
