--- /dev/null
+++ b/crates/chervilfall_planner/src/planner/advice_targets.rs
@@ -0,0 +1,136 @@
+//! Selects the endpoints that a step asks the advice service about.
+
+use std::cmp::Reverse;
+
+use crate::advice::Advice;
+use crate::endpoint::EndpointKey;
+use crate::job::Step;
+use crate::planner::schedule::{Pass, StepRequest};
+use crate::planner::Planner;
+use crate::resources::Resources;
+use crate::tasks::StepKey;
+
+/// Minimum number of endpoints named in a step's first call for advice, if there are that many.
+const MIN_ENDPOINTS_PER_CALL: u32 = 30;
+/// Endpoints named in a call per waiting task. About a quarter of the endpoints may run a step.
+const ENDPOINTS_PER_WAITING_TASK: u32 = 8;
+/// Maximum number of calls in flight for one gang. Tickets are valid for little longer than a slow
+/// call takes, so a gang that needs the tickets of several calls must make them in parallel.
+const MAX_GANG_CALLS: usize = 3;
+
+/// Returns how many calls for a step may be in flight.
+pub(super) const fn max_calls_in_flight(step: &Step) -> usize {
+    if step.gang {
+        MAX_GANG_CALLS
+    } else {
+        1
+    }
+}
+
+impl Planner {
+    /// Requests advice on endpoints that are not known for the step yet, or refreshes the tickets
+    /// of allowed endpoints with free capacity. Returns whether a call was made.
+    pub(super) fn request_advice_for_step(
+        &mut self,
+        pass: &Pass,
+        key: StepKey,
+        request: &StepRequest,
+    ) -> bool {
+        let (Some(terms), Some(pool)) = (request.advice, pass.pools.get(&request.service)) else {
+            return false;
+        };
+        let Some(progress) = self
+            .jobs
+            .get(&key.job)
+            .and_then(|job| job.step_progress(key))
+        else {
+            return false;
+        };
+        let waiting = progress.waiting();
+        if waiting == 0 {
+            return false;
+        }
+        let need = Resources::of_step(request.step());
+        let enough = if request.step().gang {
+            u64::from(waiting)
+        } else {
+            1
+        };
+        let free_resources = |endpoint: EndpointKey| self.endpoints[endpoint].free();
+        let usable = allowed_with_capacity(pool, &progress.advice, need, free_resources);
+        let max_tasks = |keys: &[EndpointKey]| -> u64 {
+            keys.iter()
+                .map(|key| u64::from(free_resources(*key).max_fitting(need)))
+                .sum()
+        };
+        let calls_in_flight = progress.advice.calls_in_flight();
+        if calls_in_flight >= max_calls_in_flight(request.step()) {
+            return false;
+        }
+        if max_tasks(&usable) >= enough {
+            if calls_in_flight > 0 {
+                return false;
+            }
+            let stale = usable
+                .iter()
+                .any(|endpoint| progress.advice.ticket(*endpoint, self.now).is_none());
+            return stale && self.request_advice(key, terms, &usable);
+        }
+        let max_endpoints =
+            (waiting * ENDPOINTS_PER_WAITING_TASK).max(MIN_ENDPOINTS_PER_CALL) as usize;
+        let left = max_endpoints.saturating_sub(progress.advice.endpoints_in_calls());
+        // Most of a call's duration does not depend on the number of endpoints named.
+        if calls_in_flight > 0 && left < MIN_ENDPOINTS_PER_CALL as usize {
+            return false;
+        }
+        let named =
+            self.unknown_by_free_capacity(pool, &progress.advice, request, left, free_resources);
+        !named.is_empty() && self.request_advice(key, terms, &named)
+    }
+
+    /// Returns up to `max_endpoints` endpoints that were not asked about yet: first those with enough
+    /// free resources, then by speed class as the latency class prefers, then by most free CPU.
+    fn unknown_by_free_capacity(
+        &self,
+        pool: &[EndpointKey],
+        advice: &Advice,
+        request: &StepRequest,
+        max_endpoints: usize,
+        free_resources: impl Fn(EndpointKey) -> Resources,
+    ) -> Vec<EndpointKey> {
+        let need = Resources::of_step(request.step());
+        let unknown = pool.iter().filter(|key| advice.is_unasked(**key));
+        let able =
+            unknown.filter(|key| Resources::of_entry(&self.endpoints[**key].entry).can_fit(need));
+        let mut found: Vec<(bool, i8, Reverse<u64>, EndpointKey)> = able
+            .map(|key| {
+                let free = free_resources(*key);
+                let rank = request
+                    .latency_class
+                    .rank(self.speed_class(&self.endpoints[*key]));
+                (!free.can_fit(need), rank, Reverse(free.cpu_milli), *key)
+            })
+            .collect();
+        // A call names a few of hundreds of endpoints, so only these are sorted.
+        if max_endpoints < found.len() {
+            found.select_nth_unstable(max_endpoints);
+            found.truncate(max_endpoints);
+        }
+        found.sort_unstable();
+        found.into_iter().map(|(.., key)| key).collect()
+    }
+}
+
+/// Returns the endpoints that may run the step and have free resources for one of its tasks.
+fn allowed_with_capacity(
+    pool: &[EndpointKey],
+    advice: &Advice,
+    need: Resources,
+    free_resources: impl Fn(EndpointKey) -> Resources,
+) -> Vec<EndpointKey> {
+    let allowed = pool.iter().filter(|key| advice.allowed(**key));
+    allowed
+        .filter(|key| free_resources(**key).can_fit(need))
+        .copied()
+        .collect()
+}
--- a/crates/chervilfall_planner/src/planner/orders.rs
+++ b/crates/chervilfall_planner/src/planner/orders.rs
@@ -1,27 +1,27 @@
-//! Starts and stops, and what their answers mean.
+//! Start and stop orders, and the handling of their answers.
 
 use crate::action::{Action, StartOrder, StepDownReason, StopOrder};
 use crate::endpoint::EndpointKey;
 use crate::event::{Refusal, StartAnswer, StopAnswer, Ticket};
 use crate::ids::{Run, TaskKey};
-use crate::meters;
-use crate::placed::{Placed, RunPhase};
-use crate::planner::gap::Resumed;
+use crate::metrics;
+use crate::placed_run::{PlacedRun, RunPhase};
+use crate::planner::takeover_gap::ServiceMilestone;
 use crate::planner::Planner;
-use crate::policy::placement::Haste;
-use crate::room::Room;
+use crate::policy::placement::LatencyClass;
+use crate::resources::Resources;
 use crate::tasks::{TaskState, RUNS_PER_TERM};
 
 impl Planner {
-    /// Returns the number of the next start of a task: higher than any of this holder and of
+    /// Returns the run number of a task's next start: higher than any used by this holder or by
     /// earlier ones, whose terms are lower.
     pub(super) fn next_run(&self, last_run: Run) -> Run {
         let first = (self.holder.term - 1) * RUNS_PER_TERM + 1;
         first.max(last_run + 1)
     }
 
-    /// Places a run and orders its start. Returns false if that can't be done.
-    pub(super) fn start(
+    /// Places a run and orders its start. Returns false if that is not possible.
+    pub(super) fn place_and_start(
         &mut self,
         key: EndpointKey,
         task: TaskKey,
@@ -31,37 +31,37 @@
         let Some(order) = self.start_order(key, task, run, ticket) else {
             return false;
         };
-        if !self.place(key, task, run, RunPhase::Starting, false) {
+        if !self.place_run(key, task, run, RunPhase::Starting, false) {
             return false;
         }
         self.send_start(order);
         true
     }
 
-    /// Puts a run in the books of its endpoint and of its job's account.
-    pub(super) fn put(&mut self, key: EndpointKey, task: TaskKey, placed: Placed) {
+    /// Records a run with its endpoint, and its usage with the account of its job.
+    pub(super) fn record_run(&mut self, key: EndpointKey, task: TaskKey, placed: PlacedRun) {
         if let Some((account, usage)) = placed.charge {
             self.accounts.add(account, usage);
         }
         let replaced = self.endpoints[key].place(task, placed);
-        self.discharge(replaced);
+        self.release_usage(replaced);
     }
 
-    /// Takes a run off the books of its job's account.
-    pub(super) fn discharge(&mut self, placed: Option<Placed>) {
+    /// Subtracts the usage of a run from the account of its job.
+    pub(super) fn release_usage(&mut self, placed: Option<PlacedRun>) {
         if let Some((account, usage)) = placed.and_then(|placed| placed.charge) {
             self.accounts.remove(account, usage);
         }
     }
 
-    /// Puts a run in the books of its endpoint and its task. Returns false if one of them is not there.
-    pub(super) fn place(
+    /// Records a run with its endpoint and its task. Returns false if one of them does not exist.
+    pub(super) fn place_run(
         &mut self,
         key: EndpointKey,
         task: TaskKey,
         run: Run,
         phase: RunPhase,
-        apart: bool,
+        exclusive: bool,
     ) -> bool {
         let charge = self.charge(task);
         if !self.endpoints.contains_key(key) {
@@ -73,11 +73,11 @@
         let Some(step) = job.spec.steps.get(task.step as usize) else {
             return false;
         };
-        let room = Room::of_step(step);
-        let hurried = Haste::of(job) == Haste::Hurried;
-        if hurried {
+        let resources = Resources::of_step(step);
+        let latency_sensitive = LatencyClass::of(job) == LatencyClass::Sensitive;
+        if latency_sensitive {
             let headroom = self.headrooms.entry(job.queue.service.clone());
-            headroom.or_default().note_start(room);
+            headroom.or_default().note_start(resources);
         }
         let Some(progress) = job.step_progress_mut(task.step_key()) else {
             return false;
@@ -89,28 +89,28 @@
         entry.state = TaskState::Placed(key, run);
         entry.last_run = run;
         progress.placed += 1;
-        self.put(
+        self.record_run(
             key,
             task,
-            Placed {
+            PlacedRun {
                 run,
                 phase,
-                room,
+                resources,
                 charge,
-                unsized_run: false,
+                size_unknown: false,
                 unanswered: 0,
                 unseen: false,
                 confirmed_ms: None,
                 resumed,
-                hurried,
-                apart,
+                latency_sensitive,
+                exclusive,
             },
         );
         true
     }
 
     fn send_start(&mut self, order: StartOrder) {
-        meters::start();
+        metrics::start();
         let endpoint = self.endpoints.get(order.endpoint);
         let born_ms = endpoint.and_then(|endpoint| endpoint.born_ms);
         self.start_ring
@@ -123,19 +123,19 @@
             "start ordered"
         );
         self.actions.push(Action::Start(order));
-        self.resumed(Resumed::Started);
+        self.record_resumption(ServiceMilestone::Started);
     }
 
-    /// Orders the start of a run that has its place already. Returns false if that can't be done.
+    /// Orders the start of a run that is already placed. Returns false if that is not possible.
     pub(super) fn order_start(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> bool {
-        let Some(order) = self.later_order(key, task, run) else {
+        let Some(order) = self.deferred_start_order(key, task, run) else {
             return false;
         };
         self.send_start(order);
         true
     }
 
-    /// Returns the order that starts a run; none if no lease can be granted.
+    /// Returns the order that starts a run, or none if no lease can be granted.
     fn start_order(
         &mut self,
         key: EndpointKey,
@@ -143,7 +143,7 @@
         run: Run,
         ticket: Option<Ticket>,
     ) -> Option<StartOrder> {
-        let bound_ms = self.cover_until_ms();
+        let bound_ms = self.lease_bound_ms();
         let lease_ms = self.limits.lease_ms.min(self.limits.lease_max_ms);
         let job = self.jobs.get(&task.job)?;
         let checkpoint = job.task(task)?.checkpoint.clone();
@@ -164,17 +164,23 @@
         })
     }
 
-    /// Returns the order that starts a run which has had its place for a while, if its endpoint still takes it.
-    fn later_order(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> Option<StartOrder> {
+    /// Returns the order that starts a run placed earlier, if its endpoint still accepts it.
+    fn deferred_start_order(
+        &mut self,
+        key: EndpointKey,
+        task: TaskKey,
+        run: Run,
+    ) -> Option<StartOrder> {
         let job = self.jobs.get(&task.job)?;
         let progress = job.step_progress(task.step_key());
         let ticket = progress.and_then(|progress| progress.advice.ticket(key, self.now).cloned());
         let endpoint = self.endpoints.get(key)?;
         let silent = !endpoint.rostered || endpoint.is_silent(self.now, &self.limits);
-        let shrunk = !endpoint.holds_all() || !endpoint.capacity_is_known(self.now, &self.limits);
+        let shrunk =
+            !endpoint.fits_all_runs() || !endpoint.capacity_is_known(self.now, &self.limits);
         if silent
             || shrunk
-            || !endpoint.entry_is_own()
+            || !endpoint.entry_is_of_incarnation()
             || (job.queue.advice.is_some() && ticket.is_none())
         {
             return None;
@@ -182,29 +188,29 @@
         self.start_order(key, task, run, ticket)
     }
 
-    /// Sends a start that was not answered again: the same run, so that whichever copy comes first
-    /// starts it and the others find it there. Returns false if that can't be done.
-    fn send_start_again(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> bool {
-        let Some(order) = self.later_order(key, task, run) else {
+    /// Resends a start that was not answered, with the same run number: the first copy to arrive
+    /// starts the run, and the others find it there. Returns false if that is not possible.
+    fn resend_start(&mut self, key: EndpointKey, task: TaskKey, run: Run) -> bool {
+        let Some(order) = self.deferred_start_order(key, task, run) else {
             return false;
         };
-        log::info!(task:% = task, run = run, endpoint:% = order.id; "start sent again");
+        log::info!(task:% = task, run = run, endpoint:% = order.id; "start resent");
         self.actions.push(Action::Start(order));
         true
     }
 
-    /// Returns a run on an endpoint, if it is the one that the books show there.
+    /// Returns the run of a task that is recorded on an endpoint, if it has this number.
     pub(super) fn placed_mut(
         &mut self,
         key: EndpointKey,
         task: TaskKey,
         run: Run,
-    ) -> Option<&mut Placed> {
+    ) -> Option<&mut PlacedRun> {
         let placed = self.endpoints.get_mut(key)?.placed.get_mut(&task)?;
         (placed.run == run).then_some(placed)
     }
 
-    pub(super) fn started(
+    pub(super) fn handle_start_answer(
         &mut self,
         key: EndpointKey,
         task: TaskKey,
@@ -223,42 +229,48 @@
                 }
                 self.confirm_start(task);
             }
-            StartAnswer::Refused(refusal) => self.start_refused(key, task, run, *refusal),
-            StartAnswer::OtherIncarnation => self.incarnation_over(key),
+            StartAnswer::Refused(refusal) => self.handle_start_refusal(key, task, run, *refusal),
+            StartAnswer::OtherIncarnation => self.incarnation_replaced(key),
             StartAnswer::Unanswered => {
-                meters::unanswered("start");
+                metrics::unanswered("start");
                 if placed.phase != RunPhase::Starting {
                     return;
                 }
                 placed.unanswered += 1;
                 let again = placed.unanswered < copies;
-                if again && self.send_start_again(key, task, run) {
+                if again && self.resend_start(key, task, run) {
                     return;
                 }
                 let endpoint = &mut self.endpoints[key];
                 endpoint.paused_until_ms = self.now + self.limits.start_pause_ms;
-                log::info!(task:% = task, run = run, endpoint:% = endpoint.entry.id; "start not answered, run is withdrawn");
+                log::info!(task:% = task, run = run, endpoint:% = endpoint.entry.id; "start not answered, withdrawing the run");
                 self.begin_stop(key, task, run);
                 self.abort_if_gang(task);
             }
         }
     }
 
-    /// Notes that a task of a job has begun. An order alone does not say so: until it is answered, callers
-    /// are told that the job waits.
+    /// Records that a task of a job has started. Until an order is answered, callers are told that
+    /// the job waits.
     pub(super) fn confirm_start(&mut self, task: TaskKey) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         if !std::mem::replace(&mut job.started, true) {
             let waited_ms = self.now.saturating_sub(job.accepted_ms);
-            meters::first_start(job.queue.priority, waited_ms);
+            metrics::first_start(job.queue.priority, waited_ms);
         }
     }
 
-    fn start_refused(&mut self, key: EndpointKey, task: TaskKey, run: Run, refusal: Refusal) {
+    fn handle_start_refusal(
+        &mut self,
+        key: EndpointKey,
+        task: TaskKey,
+        run: Run,
+        refusal: Refusal,
+    ) {
         log::info!(task:% = task, run = run, endpoint:% = self.endpoints[key].entry.id, refusal:? = refusal; "start refused");
-        meters::start_refused(refusal);
+        metrics::start_refused(refusal);
         if refusal == Refusal::Fence {
             self.step_down(StepDownReason::Fenced);
             return;
@@ -268,18 +280,18 @@
             .get(&task)
             .map_or(0, |placed| placed.unanswered);
         if unanswered > 0 {
-            // An earlier copy may still be carried out, or has been.
+            // An earlier copy may have been executed or may still be.
             self.begin_stop(key, task, run);
             self.abort_if_gang(task);
             return;
         }
-        self.free(key, task);
+        self.release_run(key, task);
         let pause_ms = self.limits.start_pause_ms;
         match refusal {
             Refusal::Ticket => {
                 let job = self.jobs.get_mut(&task.job);
                 if let Some(progress) = job.and_then(|job| job.step_progress_mut(task.step_key())) {
-                    progress.advice.spoil(key);
+                    progress.advice.invalidate_ticket(key);
                 }
             }
             Refusal::Old => {}
@@ -296,7 +308,7 @@
         }
     }
 
-    /// Marks a run to be stopped; its room stays taken until its end is known.
+    /// Marks a run to be stopped. Its resources stay reserved until its end is known.
     pub(super) fn begin_stop(&mut self, key: EndpointKey, task: TaskKey, run: Run) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -311,8 +323,8 @@
         match placed.phase {
             RunPhase::Stopping { .. } => return,
             RunPhase::Announced => {
-                // It was never sent.
-                self.free(key, task);
+                // The start was never sent.
+                self.release_run(key, task);
                 self.requeue(task, key, run);
                 return;
             }
@@ -356,7 +368,7 @@
         }
     }
 
-    pub(super) fn stopped(
+    pub(super) fn handle_stop_answer(
         &mut self,
         key: EndpointKey,
         task: TaskKey,
@@ -374,8 +386,8 @@
                 }
             }
             StopAnswer::Fenced => self.step_down(StepDownReason::Fenced),
-            StopAnswer::OtherIncarnation => self.incarnation_over(key),
-            // Sent again by `send_stops`.
+            StopAnswer::OtherIncarnation => self.incarnation_replaced(key),
+            // Resent by `send_stops`.
             StopAnswer::Refused | StopAnswer::Unanswered => {}
         }
     }
--- a/crates/chervilfall_planner/tests/backlog.rs
+++ b/crates/chervilfall_planner/tests/backlog.rs
@@ -12,13 +12,13 @@
 /// Rows of a commit: few, so that a small load is too much.
 const COMMIT_ROWS: usize = 16;
 /// Time between two jobs.
-const PAUSE_MS: u64 = 5;
+const SUBMIT_INTERVAL_MS: u64 = 5;
 const JOBS: u64 = 1_200;
 /// How far what is shown may be behind what has ended.
-const BEHIND_MS: u64 = 2_000;
+const MAX_LAG_MS: u64 = 2_000;
 
 #[test]
-fn ends_are_stored_and_acknowledged_while_new_jobs_press() {
+fn ends_are_stored_and_acknowledged_under_a_submission_overload() {
     let mut world = World::new(1, 16, 11);
     world.limits.commit_rows = COMMIT_ROWS;
     world.queue.advice = None;
@@ -37,16 +37,18 @@
             wait_ms: 700,
             account: None,
         });
-        world.run(PAUSE_MS);
+        world.run(SUBMIT_INTERVAL_MS);
     }
-    let old = |at_ms: &u64| *at_ms + BEHIND_MS < world.now;
+    let old = |at_ms: &u64| *at_ms + MAX_LAG_MS < world.now;
     let endpoints = || world.endpoints.values();
     let ended = endpoints().flat_map(|endpoint| &endpoint.starts);
     let ended: Vec<JobId> = ended
         .filter(|(at_ms, ..)| old(at_ms))
         .map(|(_, task, _)| task.job)
         .collect();
-    let noted: usize = endpoints().map(|endpoint| endpoint.noted.len()).sum();
+    let noted: usize = endpoints()
+        .map(|endpoint| endpoint.acknowledged_ends.len())
+        .sum();
     assert!(ended.len() > 100, "{} have ended", ended.len());
     assert!(noted >= ended.len() * 9 / 10, "{noted} of {}", ended.len());
     let mut shown = 0;
--- a/crates/chervilfall_planner/tests/cancels.rs
+++ b/crates/chervilfall_planner/tests/cancels.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_job_that_was_cancelled_before_it_came_never_runs() {
+fn a_job_cancelled_before_its_submission_never_runs() {
     struct Case {
         name: &'static str,
         takeover: bool,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_refused_job_that_was_cancelled_never_runs_when_it_comes_again() {
+fn a_cancelled_job_whose_submission_was_refused_never_runs_when_resubmitted() {
     let mut world = World::new(3, 4, 7);
     world.run(1_500);
     let id = JobId(1);
--- a/crates/chervilfall_planner/tests/capacity.rs
+++ b/crates/chervilfall_planner/tests/capacity.rs
@@ -9,34 +9,34 @@
 use world::{step, World};
 
 /// Processor of an endpoint, in thousandths of a core, and what is left of it at times.
-const WHOLE: u32 = 4_000;
-const SHRUNK: u32 = 1_000;
+const FULL_CPU_MILLI: u32 = 4_000;
+const SHRUNK_CPU_MILLI: u32 = 1_000;
 
 struct Case {
     name: &'static str,
     /// Called once, when endpoints shrink.
-    strike: fn(&mut World),
+    inject_fault: fn(&mut World),
 }
 
-fn everybody_is_cut_from_the_store(world: &mut World) {
+fn cut_nodes_from_store(world: &mut World) {
     let until_ms = world.now + 8_500;
     for node in &mut world.nodes {
         node.store_cut_until_ms = until_ms;
     }
 }
 
-fn endpoints_are_cut_from_the_store(world: &mut World) {
+fn cut_endpoints_from_store(world: &mut World) {
     let until_ms = world.now + 8_500;
     for endpoint in world.endpoints.values_mut() {
         endpoint.store_cut_until_ms = until_ms;
     }
 }
 
-fn the_store_is_away(world: &mut World) {
+fn take_store_down(world: &mut World) {
     world.store.down_until_ms = world.now + 8_500;
 }
 
-fn the_holder_is_lost(world: &mut World) {
+fn kill_holder(world: &mut World) {
     let holder = world.holder().expect("a holder");
     world.kill(holder);
 }
@@ -49,7 +49,7 @@
 }
 
 /// Keeps more work waiting than there is room for.
-fn fill(world: &mut World, id: u64) {
+fn submit_more_than_fits(world: &mut World, id: u64) {
     let spec = JobSpec {
         spec: "text".to_owned(),
         steps: vec![step(400, 500)],
@@ -63,45 +63,45 @@
     let cases = [
         Case {
             name: "nothing else happens",
-            strike: |_| {},
+            inject_fault: |_| {},
         },
         Case {
             name: "no node reaches the store",
-            strike: everybody_is_cut_from_the_store,
+            inject_fault: cut_nodes_from_store,
         },
         Case {
             name: "endpoints don't reach the store",
-            strike: endpoints_are_cut_from_the_store,
+            inject_fault: cut_endpoints_from_store,
         },
         Case {
             name: "the store is away",
-            strike: the_store_is_away,
+            inject_fault: take_store_down,
         },
         Case {
             name: "the holder is lost",
-            strike: the_holder_is_lost,
+            inject_fault: kill_holder,
         },
     ];
     for case in cases {
         for seed in 0..4 {
             let name = case.name;
             let mut world = World::new(3, 6, seed);
-            world.beats = true;
+            world.uses_reported_entries = true;
             world.queue.attempts = 20;
             world.run(4_000);
-            fill(&mut world, 1);
+            submit_more_than_fits(&mut world, 1);
             world.run(1_000);
-            (case.strike)(&mut world);
-            resize(&mut world, SHRUNK);
+            (case.inject_fault)(&mut world);
+            resize(&mut world, SHRUNK_CPU_MILLI);
             world.run(12_000);
             assert_eq!(
                 world.violations,
                 Vec::<String>::new(),
                 "{name}, seed {seed}"
             );
-            resize(&mut world, WHOLE);
+            resize(&mut world, FULL_CPU_MILLI);
             world.run(6_000);
-            fill(&mut world, 2);
+            submit_more_than_fits(&mut world, 2);
             world.run(2_000);
             let most = world
                 .endpoints
@@ -112,7 +112,7 @@
                 Some(4),
                 "{name}, seed {seed}: room that is back is used"
             );
-            resize(&mut world, SHRUNK);
+            resize(&mut world, SHRUNK_CPU_MILLI);
             world.run(12_000);
             assert_eq!(
                 world.violations,
--- a/crates/chervilfall_planner/tests/election.rs
+++ b/crates/chervilfall_planner/tests/election.rs
@@ -1,6 +1,6 @@
 //! When a node claims the group.
 
-use chervilfall_planner::{Candidate, CandidateMove, HolderRow, Identity, Stall};
+use chervilfall_planner::{Candidate, CandidateAction, HolderRow, Identity, StallTimeouts};
 
 /// How long the row must stand still.
 const STALL_MS: u64 = 1_200;
@@ -36,14 +36,14 @@
 const REFUSED_STALL_MS: u64 = 80;
 
 /// The standstill with a sound store.
-const SOUND: Stall = Stall {
-    unsaid_ms: STALL_MS,
+const SOUND: StallTimeouts = StallTimeouts {
+    unreported_ms: STALL_MS,
     refused_ms: REFUSED_STALL_MS,
     slow_ms: 0,
 };
 
 #[test]
-fn a_claim_is_made_when_the_row_has_stood_still() {
+fn a_claim_is_made_when_the_row_has_not_changed() {
     struct Case {
         name: &'static str,
         cpu_permille: u64,
@@ -123,18 +123,18 @@
         let mut claims = false;
         for (now, reading) in case.readings {
             let Some((version, row)) = reading else {
-                candidate.unreadable();
+                candidate.record_unreadable();
                 continue;
             };
             let moved = candidate.observe(now, now, version, Some(row), &SOUND);
-            claims = matches!(moved, CandidateMove::Claim(..));
+            claims = matches!(moved, CandidateAction::Claim(..));
         }
         assert_eq!(claims, case.claims, "{}", case.name);
     }
 }
 
 #[test]
-fn a_holder_is_given_the_time_that_it_asks_for() {
+fn the_stall_timeout_requested_by_the_holder_is_respected() {
     struct Case {
         name: &'static str,
         standstill_ms: u64,
@@ -192,20 +192,20 @@
             ..holder(10_000 - case.age_ms, false)
         };
         if case.refused {
-            candidate.refused_by(9_990, &row);
+            candidate.record_refused_connection(9_990, &row);
         }
-        let stall = Stall {
+        let stall = StallTimeouts {
             slow_ms: case.slow_ms,
             ..SOUND
         };
         let moved = candidate.observe(10_000, 10_000, 5, Some(row), &stall);
-        let claims = matches!(moved, CandidateMove::Claim(..));
+        let claims = matches!(moved, CandidateAction::Claim(..));
         assert_eq!(claims, case.claims, "{}", case.name);
     }
 }
 
 #[test]
-fn a_refusal_speaks_against_one_holder_only() {
+fn a_refused_connection_counts_against_one_holder_only() {
     struct Case {
         name: &'static str,
         /// Term and incarnation of the holder that refused.
@@ -267,32 +267,32 @@
             incarnation,
             ..holder(0, false)
         };
-        candidate.refused_by(case.refused_ms, &gone);
+        candidate.record_refused_connection(case.refused_ms, &gone);
         let row = holder(10_000 - case.age_ms, false);
         let moved = candidate.observe(10_000, 10_000, 5, Some(row), &SOUND);
-        let claims = matches!(moved, CandidateMove::Claim(..));
+        let claims = matches!(moved, CandidateAction::Claim(..));
         assert_eq!(claims, case.claims, "{}", case.name);
     }
 }
 
-struct Replacement {
+struct ReplacementCase {
     name: &'static str,
     cpu_permille: u64,
     holder: HolderRow,
     /// The node has handed the claim back at the first reading.
-    abstains: bool,
+    backs_off: bool,
     /// Times of readings of a row that moves; the last one is judged.
     readings_ms: &'static [u64],
     claims: bool,
 }
 
-impl Replacement {
+impl ReplacementCase {
     fn of(name: &'static str, cpu_permille: u64, holder: HolderRow) -> Self {
         Self {
             name,
             cpu_permille,
             holder,
-            abstains: false,
+            backs_off: false,
             readings_ms: &[10_000],
             claims: true,
         }
@@ -305,14 +305,14 @@
         }
     }
 
-    fn abstains(self) -> Self {
+    fn backs_off(self) -> Self {
         Self {
-            abstains: true,
+            backs_off: true,
             ..self
         }
     }
 
-    fn leaves_it(self) -> Self {
+    fn does_not_claim(self) -> Self {
         Self {
             claims: false,
             ..self
@@ -333,27 +333,28 @@
         ..holder(0, true)
     };
     let cases = [
-        Replacement::of("a larger one reads sooner", 500, row(120, true))
+        ReplacementCase::of("a larger one reads sooner", 500, row(120, true))
             .read_at(&[10_000, 11_100]),
-        Replacement::of("not at once", 500, row(120, true))
+        ReplacementCase::of("not at once", 500, row(120, true))
             .read_at(&[10_000, 10_500])
-            .leaves_it(),
-        Replacement::of("an equal one takes as long", 120, row(120, true))
+            .does_not_claim(),
+        ReplacementCase::of("an equal one takes as long", 120, row(120, true))
             .read_at(&[10_000, 11_100])
-            .leaves_it(),
-        Replacement::of("a holder that serves stays", 500, row(120, false))
+            .does_not_claim(),
+        ReplacementCase::of("a holder that serves stays", 500, row(120, false))
             .read_at(&[10_000, 11_100])
-            .leaves_it(),
-        Replacement::of("one that has handed it back", 120, released(120, 0))
-            .abstains()
+            .does_not_claim(),
+        ReplacementCase::of("one that has handed it back", 120, released(120, 0))
+            .backs_off()
             .read_at(&[10_000, 11_500])
-            .leaves_it(),
-        Replacement::of("takes it if nobody does", 120, released(120, 0))
-            .abstains()
+            .does_not_claim(),
+        ReplacementCase::of("takes it if nobody does", 120, released(120, 0))
+            .backs_off()
             .read_at(&[10_000, 12_100]),
-        Replacement::of("handed to a larger one", 500, released(120, 500)),
-        Replacement::of("a small one leaves it to that", 120, released(120, 500)).leaves_it(),
-        Replacement::of("among small ones", 120, released(120, 0)),
+        ReplacementCase::of("handed to a larger one", 500, released(120, 500)),
+        ReplacementCase::of("a small one leaves it to that", 120, released(120, 500))
+            .does_not_claim(),
+        ReplacementCase::of("among small ones", 120, released(120, 0)),
     ];
     for case in cases {
         let mut candidate = candidate(case.cpu_permille);
@@ -363,9 +364,9 @@
             // A holder that reads renews its claim; one that was handed back stands still.
             let version = if case.holder.released { 5 } else { version };
             let moved = candidate.observe(*at_ms, 0, version, row, &SOUND);
-            claims = matches!(moved, CandidateMove::Claim(..));
-            if case.abstains && *at_ms == case.readings_ms[0] {
-                candidate.abstain(*at_ms);
+            claims = matches!(moved, CandidateAction::Claim(..));
+            if case.backs_off && *at_ms == case.readings_ms[0] {
+                candidate.back_off(*at_ms);
             }
         }
         assert_eq!(claims, case.claims, "{}", case.name);
@@ -373,11 +374,11 @@
 }
 
 #[test]
-fn a_small_node_says_in_its_claim_that_a_larger_one_held_the_group() {
+fn a_small_node_records_in_its_claim_the_capacity_of_a_larger_predecessor() {
     let mut small = candidate(120);
     small.observe(1_000, 0, 4, Some(holder(0, false)), &SOUND);
     let silent = small.observe(8_000, 0, 4, Some(holder(0, false)), &SOUND);
-    let CandidateMove::Claim(_, row) = silent else {
+    let CandidateAction::Claim(_, row) = silent else {
         panic!("a lost holder is replaced: {silent:?}");
     };
     assert_eq!((row.cpu_permille, row.wanted_permille), (120, 500));
--- a/crates/chervilfall_planner/tests/fleet.rs
+++ b/crates/chervilfall_planner/tests/fleet.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use chervilfall_planner::{AdviceTerms, JobId, JobSpec, Queue, Request, Step};
+use chervilfall_planner::{AdviceTimings, JobId, JobSpec, Queue, Request, Step};
 use world::random::Random;
 use world::World;
 
@@ -48,7 +48,7 @@
         ..Step::default()
     };
     let terms = |decide_ms, each_ms| {
-        Some(AdviceTerms {
+        Some(AdviceTimings {
             decide_ms,
             each_ms,
             valid_ms: 1_500,
--- a/crates/chervilfall_planner/tests/histories.rs
+++ b/crates/chervilfall_planner/tests/histories.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use chervilfall_planner::{Answer, Asker, JobId, JobSpec, JobState, Request, Step};
-use world::endpoint::Crashing;
+use world::endpoint::CrashBehavior;
 use world::{step, World};
 
 /// Histories of a run in CI; more by `CHERVILFALL_HISTORIES`.
@@ -46,7 +46,7 @@
 
 /// How long faults last and how many orders come late.
 #[derive(Debug, Clone, Copy)]
-struct Roughness {
+struct FaultProfile {
     longest_ms: u64,
     late_percent: u64,
     /// Endpoints crash and come back, and some jobs bring down what starts them.
@@ -56,27 +56,27 @@
 }
 
 /// Faults that end before the cover of a claim does.
-const USUAL: Roughness = Roughness {
+const SHORT_FAULTS: FaultProfile = FaultProfile {
     longest_ms: 9_000,
     late_percent: 8,
     crashes: false,
     keeps_names: false,
 };
 /// Faults that outlast the cover of a claim, and most orders late.
-const ROUGH: Roughness = Roughness {
+const LONG_FAULTS: FaultProfile = FaultProfile {
     longest_ms: 15_000,
     late_percent: 55,
     crashes: false,
     keeps_names: false,
 };
 /// The usual faults, and crashes.
-const CRASHES: Roughness = Roughness {
+const CRASHES: FaultProfile = FaultProfile {
     crashes: true,
-    ..USUAL
+    ..SHORT_FAULTS
 };
 
 /// The same, and endpoints keep their names.
-const RESTARTS: Roughness = Roughness {
+const RESTARTS: FaultProfile = FaultProfile {
     keeps_names: true,
     ..CRASHES
 };
@@ -110,12 +110,12 @@
         world.random.below(1_500)
     };
     let index = world.random.percent(50).then_some(0);
-    world.crashing.insert(id, Crashing { after_ms, index });
+    world.crashing.insert(id, CrashBehavior { after_ms, index });
 }
 
-fn strike(world: &mut World, roughness: Roughness) {
+fn inject_fault(world: &mut World, profile: FaultProfile) {
     let now = world.now;
-    let for_ms = 500 + world.random.below(roughness.longest_ms);
+    let for_ms = 500 + world.random.below(profile.longest_ms);
     let nodes = world.nodes.len() as u64;
     let node = usize::try_from(world.random.below(nodes)).expect("small");
     let node = if world.random.percent(50) {
@@ -142,10 +142,16 @@
         2 => world.nodes[node].cut_until_ms = now + for_ms,
         3 => world.nodes[node].store_cut_until_ms = now + for_ms,
         4 => world.store.down_until_ms = now + for_ms,
-        5 => world.store.lost_percent = if world.store.lost_percent == 0 { 30 } else { 0 },
+        5 => {
+            world.store.lost_answer_percent = if world.store.lost_answer_percent == 0 {
+                30
+            } else {
+                0
+            }
+        }
         6 => {
             let late = world.late_percent == 0;
-            world.late_percent = if late { roughness.late_percent } else { 0 };
+            world.late_percent = if late { profile.late_percent } else { 0 };
         }
         7 => {
             world
@@ -154,7 +160,7 @@
                 .expect("there")
                 .cut_until_ms = now + for_ms;
         }
-        8 => world.split_until_ms = now + for_ms,
+        8 => world.partitioned_until_ms = now + for_ms,
         _ => {
             let alive = world
                 .endpoints
@@ -170,32 +176,32 @@
     }
 }
 
-fn play(seed: u64, roughness: Roughness) -> Result<(), String> {
+fn run_history(seed: u64, profile: FaultProfile) -> Result<(), String> {
     let mut world = World::new(4, 8, seed);
     for endpoint in world.endpoints.values_mut().skip(5) {
         endpoint.domain = 1;
     }
     world.nodes[3].domain = 1;
-    if roughness.keeps_names {
+    if profile.keeps_names {
         world.keep_names();
-        world.reborn_ms = 50 + world.random.below(6_000);
+        world.restart_delay_ms = 50 + world.random.below(6_000);
         // In half of them entries lag behind what endpoints are.
-        world.beats = world.random.percent(50);
+        world.uses_reported_entries = world.random.percent(50);
     }
     world.run(1_500);
     for round in 0..ROUNDS {
-        if roughness.crashes && world.random.percent(10) {
+        if profile.crashes && world.random.percent(10) {
             crash(&mut world);
         }
         if world.random.percent(60) {
             let spec = random_job(&mut world);
-            if roughness.crashes && world.random.percent(10) {
+            if profile.crashes && world.random.percent(10) {
                 make_crashing(&mut world, JobId(round + 1));
             }
             world.submit(round + 1, spec);
         }
         if world.random.percent(25) {
-            strike(&mut world, roughness);
+            inject_fault(&mut world, profile);
         }
         if world.random.percent(4) {
             let id = JobId(1 + world.random.below(round + 1));
@@ -209,7 +215,7 @@
         let pause_ms = world.random.below(700);
         world.run(pause_ms);
     }
-    world.store.lost_percent = 0;
+    world.store.lost_answer_percent = 0;
     world.late_percent = 0;
     world.run(SETTLE_MS);
     world.check_history();
@@ -225,7 +231,7 @@
             Answer::State(JobState::Failed) => {
                 world.has_used_attempts(id)
                     || world.crashing.contains_key(&id)
-                    || world.most_crashes_under(id) >= GIVEN_UP_CRASHES
+                    || world.max_crashes_under(id) >= GIVEN_UP_CRASHES
             }
             Answer::State(JobState::Cancelled) => cancelled,
             _ => false,
@@ -237,7 +243,7 @@
         }
     }
     if std::env::var("CHERVILFALL_TRACE").is_ok() {
-        println!("{}", world.story());
+        println!("{}", world.event_log());
     }
     match world.violations.first() {
         Some(first) => Err(format!(
@@ -248,14 +254,14 @@
     }
 }
 
-fn number(name: &str, default: u64) -> u64 {
+fn env_number(name: &str, default: u64) -> u64 {
     let set = std::env::var(name).ok().and_then(|text| text.parse().ok());
     set.unwrap_or(default)
 }
 
-fn play_all(seeds: impl Iterator<Item = u64>, roughness: Roughness) {
+fn run_histories(seeds: impl Iterator<Item = u64>, profile: FaultProfile) {
     let failed: Vec<String> = seeds
-        .filter_map(|seed| play(seed, roughness).err())
+        .filter_map(|seed| run_history(seed, profile).err())
         .collect();
     assert!(
         failed.is_empty(),
@@ -266,18 +272,18 @@
 }
 
 #[test]
-fn random_histories_keep_every_promise() {
-    let first = number("CHERVILFALL_SEED", 0);
-    let count = number("CHERVILFALL_HISTORIES", HISTORIES);
+fn random_histories_violate_no_invariant() {
+    let first = env_number("CHERVILFALL_SEED", 0);
+    let count = env_number("CHERVILFALL_HISTORIES", HISTORIES);
     let seeds = REGRESSIONS.into_iter().chain(first..first + count);
-    play_all(seeds, USUAL);
+    run_histories(seeds, SHORT_FAULTS);
 }
 
 #[test]
-fn rough_histories_keep_every_promise() {
-    let first = number("CHERVILFALL_SEED", 0);
-    let count = number("CHERVILFALL_HISTORIES", HISTORIES);
-    play_all(first..first + count, ROUGH);
+fn histories_with_long_faults_violate_no_invariant() {
+    let first = env_number("CHERVILFALL_SEED", 0);
+    let count = env_number("CHERVILFALL_HISTORIES", HISTORIES);
+    run_histories(first..first + count, LONG_FAULTS);
 }
 
 /// Seeds of histories with crashes that failed once, played at every run.
@@ -291,11 +297,11 @@
 const CRASH_REGRESSIONS: [u64; 5] = [68, 250, 5_368, 231, 1_003];
 
 #[test]
-fn histories_with_crashes_keep_every_promise() {
-    let first = number("CHERVILFALL_SEED", 0);
-    let count = number("CHERVILFALL_HISTORIES", HISTORIES);
+fn histories_with_crashes_violate_no_invariant() {
+    let first = env_number("CHERVILFALL_SEED", 0);
+    let count = env_number("CHERVILFALL_HISTORIES", HISTORIES);
     let seeds = CRASH_REGRESSIONS.into_iter().chain(first..first + count);
-    play_all(seeds, CRASHES);
+    run_histories(seeds, CRASHES);
 }
 
 /// Seeds of histories with endpoints that start again, which failed once.
@@ -311,9 +317,9 @@
 const RESTART_REGRESSIONS: [u64; 3] = [435, 2_079, 20_048];
 
 #[test]
-fn histories_with_endpoints_that_start_again_keep_every_promise() {
-    let first = number("CHERVILFALL_SEED", 0);
-    let count = number("CHERVILFALL_HISTORIES", HISTORIES);
+fn histories_with_endpoint_restarts_violate_no_invariant() {
+    let first = env_number("CHERVILFALL_SEED", 0);
+    let count = env_number("CHERVILFALL_HISTORIES", HISTORIES);
     let seeds = RESTART_REGRESSIONS.into_iter().chain(first..first + count);
-    play_all(seeds, RESTARTS);
+    run_histories(seeds, RESTARTS);
 }
--- a/crates/chervilfall_planner/tests/planner.rs
+++ b/crates/chervilfall_planner/tests/planner.rs
@@ -22,7 +22,7 @@
     })
 }
 
-fn completed(world: &mut World, id: u64, bound_ms: u64) {
+fn assert_completes(world: &mut World, id: u64, bound_ms: u64) {
     let end = world.now + bound_ms;
     while world.now < end {
         if state(world, id) == Answer::State(JobState::Completed) {
@@ -98,7 +98,7 @@
             "{}",
             case.name
         );
-        completed(&mut world, number, case.within_ms);
+        assert_completes(&mut world, number, case.within_ms);
     }
 }
 
@@ -147,19 +147,19 @@
                 .filter(|endpoint| endpoint.id != id);
             others.map(|endpoint| endpoint.starts.len()).sum::<usize>() == 1
         });
-        completed(&mut world, 1, 5_000);
+        assert_completes(&mut world, 1, 5_000);
         assert_eq!(world.violations, Vec::<String>::new(), "{}", case.name);
     }
 }
 
 #[test]
-fn a_successor_takes_runs_as_it_finds_them() {
+fn a_successor_adopts_running_tasks() {
     let mut world = ready_world(5);
     assert_eq!(world.submit(1, job(vec![step(6, 2_500)])), Answer::Accepted);
     world.run(300);
     let holder = world.holder().expect("a holder");
     world.kill(holder);
-    completed(&mut world, 1, 8_000);
+    assert_completes(&mut world, 1, 8_000);
     let starts: usize = world
         .endpoints
         .values()
@@ -216,7 +216,7 @@
         matches!(answer, Answer::Refused { retry_ms } if retry_ms > 0),
         "{answer:?}"
     );
-    completed(&mut world, 1, 9_000);
+    assert_completes(&mut world, 1, 9_000);
     assert_eq!(state(&mut world, 2), Answer::Unknown);
     let starts: usize = world
         .endpoints
@@ -253,15 +253,15 @@
         there.map(|endpoint| endpoint.running.len()).sum::<usize>(),
         8
     );
-    world.split_until_ms = world.now + 9_000;
+    world.partitioned_until_ms = world.now + 9_000;
     world.run(9_000);
     assert_eq!(world.violations, Vec::<String>::new());
     assert_ne!(world.holder(), Some(holder));
-    completed(&mut world, 1, 25_000);
+    assert_completes(&mut world, 1, 25_000);
 }
 
 #[test]
-fn an_endpoint_that_fails_everything_is_left_alone() {
+fn an_endpoint_that_fails_everything_is_quarantined() {
     let mut world = ready_world(13);
     let bad = world.endpoints.keys().next().expect("an endpoint").clone();
     world.endpoints.get_mut(&bad).expect("there").fails_all = true;
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn copies_of_unanswered_starts_bring_a_gang_together() {
+fn copies_of_unanswered_starts_complete_a_gang() {
     let (once, copied) = (members_in_time(1), members_in_time(3));
     let all = 20 * usize::try_from(LATE_GANGS).expect("few");
     assert!(
@@ -315,7 +315,7 @@
 }
 
 /// Jobs that come twice as fast as one endpoint can run them.
-const PRESSING_JOBS: u64 = 40;
+const OVERLOAD_JOBS: u64 = 40;
 
 #[test]
 fn under_overload_jobs_that_can_be_in_time_go_before_those_that_cannot() {
@@ -324,8 +324,8 @@
     let objective_ms = 3_000;
     let mut in_time = BTreeSet::new();
     let mut sent = BTreeMap::new();
-    for round in 0..PRESSING_JOBS + 8 {
-        if round < PRESSING_JOBS {
+    for round in 0..OVERLOAD_JOBS + 8 {
+        if round < OVERLOAD_JOBS {
             let id = round + 1;
             assert_eq!(
                 world.submit(id, job(vec![step(4, 1_000)])),
@@ -346,9 +346,9 @@
     }
     // First come, first served, 12 of them are.
     assert!(in_time.len() >= 15, "{in_time:?} were in time");
-    completed(&mut world, 1, 10_000);
+    assert_completes(&mut world, 1, 10_000);
     for id in sent.into_keys() {
-        completed(&mut world, id, 40_000);
+        assert_completes(&mut world, id, 40_000);
     }
 }
 
@@ -429,8 +429,8 @@
     };
     assert_eq!(running(&world), 4, "leases were granted again in time");
     assert_eq!(world.submit(2, job(vec![step(4, 300)])), Answer::Accepted);
-    completed(&mut world, 2, 2_000);
-    completed(&mut world, 1, 9_000);
+    assert_completes(&mut world, 2, 2_000);
+    assert_completes(&mut world, 1, 9_000);
 }
 
 #[test]
@@ -455,7 +455,7 @@
     world.nodes[holder].domain = 1;
     world.run(1_550);
     world.nodes[holder].store_cut_until_ms = world.now + 20_000;
-    world.split_until_ms = world.now + 20_000;
+    world.partitioned_until_ms = world.now + 20_000;
     world.run_until(6_000, |world| {
         let others = world
             .endpoints
@@ -472,12 +472,12 @@
     let mut world = World::new(3, 1_600, 23);
     world.run(2_500);
     assert_eq!(world.submit(1, job(vec![step(40, 300)])), Answer::Accepted);
-    completed(&mut world, 1, 2_000);
+    assert_completes(&mut world, 1, 2_000);
     let holder = world.holder().expect("a holder");
     world.kill(holder);
     world.run(4_000);
     assert_eq!(world.submit(2, job(vec![step(40, 300)])), Answer::Accepted);
-    completed(&mut world, 2, 2_000);
+    assert_completes(&mut world, 2, 2_000);
 }
 
 #[test]
--- a/crates/chervilfall_planner/tests/terms.rs
+++ b/crates/chervilfall_planner/tests/queue_configuration.rs
@@ -11,9 +11,9 @@
 /// Service that all endpoints of the world belong to.
 const POOL: &str = "pool";
 /// A service without endpoints.
-const ELSEWHERE: &str = "elsewhere";
+const EMPTY_SERVICE: &str = "elsewhere";
 /// Version that the holder has in force.
-const HOLDERS: u64 = 5;
+const HOLDER_VERSION: u64 = 5;
 
 fn queue(world: &World, service: &str, configuration: u64) -> Queue {
     Queue {
@@ -38,7 +38,7 @@
     world.config = Arc::new(config);
     let holder = world.holder().expect("a holder");
     let event = Event::Configured(Arc::clone(&world.config));
-    world.feed(holder, event);
+    world.handle_event(holder, event);
 }
 
 fn starts(world: &World) -> usize {
@@ -80,42 +80,42 @@
     let cases = [
         Case {
             name: "the same version",
-            named: (HOLDERS, POOL),
+            named: (HOLDER_VERSION, POOL),
             known: Some(POOL),
             answer: Answer::Accepted,
             starts: 2,
         },
         Case {
             name: "the holder's is older",
-            named: (HOLDERS + 1, POOL),
-            known: Some(ELSEWHERE),
+            named: (HOLDER_VERSION + 1, POOL),
+            known: Some(EMPTY_SERVICE),
             answer: Answer::Accepted,
             starts: 2,
         },
         Case {
             name: "the holder's is older and lacks the queue",
-            named: (HOLDERS + 1, POOL),
+            named: (HOLDER_VERSION + 1, POOL),
             known: None,
             answer: Answer::Accepted,
             starts: 2,
         },
         Case {
             name: "the holder's is newer",
-            named: (HOLDERS - 1, POOL),
-            known: Some(ELSEWHERE),
+            named: (HOLDER_VERSION - 1, POOL),
+            known: Some(EMPTY_SERVICE),
             answer: Answer::Accepted,
             starts: 0,
         },
         Case {
             name: "the holder's is newer and lacks the queue",
-            named: (HOLDERS - 1, POOL),
+            named: (HOLDER_VERSION - 1, POOL),
             known: None,
             answer: Answer::NoQueue,
             starts: 0,
         },
         Case {
             name: "a request of an earlier program",
-            named: (0, ELSEWHERE),
+            named: (0, EMPTY_SERVICE),
             known: Some(POOL),
             answer: Answer::Accepted,
             starts: 2,
@@ -124,7 +124,7 @@
     for case in cases {
         let mut world = World::new(3, 4, 7);
         world.run(1_500);
-        configure(&mut world, HOLDERS, case.known);
+        configure(&mut world, HOLDER_VERSION, case.known);
         let named = queue(&world, case.named.1, case.named.0);
         let answer = submit(&mut world, named);
         assert_eq!(answer, case.answer, "{}", case.name);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_job_keeps_the_newest_terms_that_it_had() {
+fn a_job_keeps_the_newest_queue_configuration_that_it_had() {
     struct Case {
         name: &'static str,
         /// Version that comes into force after the job was taken, and the service there.
@@ -143,12 +143,12 @@
     let cases = [
         Case {
             name: "an older one",
-            then: (HOLDERS + 1, POOL),
+            then: (HOLDER_VERSION + 1, POOL),
             starts: 0,
         },
         Case {
             name: "a newer one",
-            then: (HOLDERS + 3, POOL),
+            then: (HOLDER_VERSION + 3, POOL),
             starts: 2,
         },
     ];
@@ -156,8 +156,8 @@
         for takeover in [false, true] {
             let mut world = World::new(3, 4, 7);
             world.run(1_500);
-            configure(&mut world, HOLDERS, Some(POOL));
-            let named = queue(&world, ELSEWHERE, HOLDERS + 2);
+            configure(&mut world, HOLDER_VERSION, Some(POOL));
+            let named = queue(&world, EMPTY_SERVICE, HOLDER_VERSION + 2);
             assert_eq!(submit(&mut world, named), Answer::Accepted, "{}", case.name);
             assert_eq!(starts(&world), 0, "{}", case.name);
             if takeover {
--- a/crates/chervilfall_planner/tests/restarts.rs
+++ b/crates/chervilfall_planner/tests/restarts.rs
@@ -31,7 +31,7 @@
 
 /// What happens beside the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Beside {
+enum ConcurrentFault {
     Nothing,
     /// The holder's process is killed just after each crash.
     HolderKilled,
@@ -57,26 +57,26 @@
     }
 }
 
-fn strike(world: &mut World, round: u64, beside: Beside) {
+fn inject_fault(world: &mut World, round: u64, concurrent_fault: ConcurrentFault) {
     let now = world.now;
     let position = usize::try_from(round).expect("small");
     for number in [position % ENDPOINTS, (position + 1) % ENDPOINTS] {
         let endpoint = world.endpoints.values_mut().nth(number).expect("in range");
         endpoint.crash(now, None);
-        if beside == Beside::Cut {
-            endpoint.cut_until_ms = now + world.reborn_ms + 1_500;
+        if concurrent_fault == ConcurrentFault::Cut {
+            endpoint.cut_until_ms = now + world.restart_delay_ms + 1_500;
         }
     }
     let Some(holder) = world.holder() else {
         return;
     };
-    match beside {
-        Beside::HolderKilled => world.kill(holder),
-        Beside::HolderFrozen => world.nodes[holder].frozen_until_ms = now + 4_000,
-        Beside::StoreAway => world.store.down_until_ms = now + 2_000,
-        Beside::LateOrders => world.late_percent = 20,
-        Beside::StoreLosesAnswers => world.store.lost_percent = 30,
-        Beside::Nothing | Beside::Cut => {}
+    match concurrent_fault {
+        ConcurrentFault::HolderKilled => world.kill(holder),
+        ConcurrentFault::HolderFrozen => world.nodes[holder].frozen_until_ms = now + 4_000,
+        ConcurrentFault::StoreAway => world.store.down_until_ms = now + 2_000,
+        ConcurrentFault::LateOrders => world.late_percent = 20,
+        ConcurrentFault::StoreLosesAnswers => world.store.lost_answer_percent = 30,
+        ConcurrentFault::Nothing | ConcurrentFault::Cut => {}
     }
 }
 
@@ -95,9 +95,9 @@
 }
 
 /// Lets all end, and looks at what became of it.
-fn settle(world: &mut World) {
+fn settle_and_check(world: &mut World) {
     world.late_percent = 0;
-    world.store.lost_percent = 0;
+    world.store.lost_answer_percent = 0;
     world.run(SETTLE_MS);
     world.check_history();
     let accepted: Vec<JobId> = world.accepted.iter().copied().collect();
@@ -106,7 +106,7 @@
             id,
             asker: Asker::default(),
         });
-        let suspect = world.most_crashes_under(id) >= GIVEN_UP_CRASHES;
+        let suspect = world.max_crashes_under(id) >= GIVEN_UP_CRASHES;
         let may_fail = world.has_used_attempts(id) || suspect;
         let failed = answer == Answer::State(JobState::Failed) && may_fail;
         if answer != Answer::State(JobState::Completed) && !failed {
@@ -116,64 +116,84 @@
 }
 
 /// Plays crashes of two endpoints at a time, and returns what was broken.
-fn play(reborn_ms: u64, beside: Beside, seed: u64) -> Vec<String> {
+fn run_crashes(restart_delay_ms: u64, concurrent_fault: ConcurrentFault, seed: u64) -> Vec<String> {
     let mut world = World::new(3, ENDPOINTS, seed);
     world.keep_names();
-    world.reborn_ms = reborn_ms;
+    world.restart_delay_ms = restart_delay_ms;
     world.run(1_500);
     let mut next = 1;
     for round in 0..6 {
         let until_ms = world.now + BETWEEN_MS;
         next = submit_until(&mut world, until_ms, next);
-        strike(&mut world, round, beside);
+        inject_fault(&mut world, round, concurrent_fault);
     }
-    settle(&mut world);
+    settle_and_check(&mut world);
     if std::env::var("CHERVILFALL_TRACE").is_ok() {
-        println!("{}", world.story());
+        println!("{}", world.event_log());
     }
     world.violations
 }
 
 #[test]
-fn endpoints_that_start_again_under_their_name_run_nothing_twice() {
+fn endpoints_that_restart_under_their_name_run_nothing_twice() {
     struct Case {
         name: &'static str,
-        reborn_ms: u64,
-        beside: Beside,
+        restart_delay_ms: u64,
+        concurrent_fault: ConcurrentFault,
     }
-    let case = |name, reborn_ms, beside| Case {
+    let case = |name, restart_delay_ms, concurrent_fault| Case {
         name,
-        reborn_ms,
-        beside,
+        restart_delay_ms,
+        concurrent_fault,
     };
     let cases = [
-        case("back at once", 100, Beside::Nothing),
-        case("back while orders are on their way", 300, Beside::Nothing),
-        case("back before it is missed", 800, Beside::Nothing),
-        case("back before leases lapse", 2_000, Beside::Nothing),
-        case("back after leases have lapsed", 4_000, Beside::Nothing),
-        case("the holder is lost too", 300, Beside::HolderKilled),
-        case("the holder is lost too, late", 2_000, Beside::HolderKilled),
+        case("back at once", 100, ConcurrentFault::Nothing),
+        case(
+            "back while orders are on their way",
+            300,
+            ConcurrentFault::Nothing,
+        ),
+        case("back before it is missed", 800, ConcurrentFault::Nothing),
+        case("back before leases lapse", 2_000, ConcurrentFault::Nothing),
+        case(
+            "back after leases have lapsed",
+            4_000,
+            ConcurrentFault::Nothing,
+        ),
+        case("the holder is lost too", 300, ConcurrentFault::HolderKilled),
+        case(
+            "the holder is lost too, late",
+            2_000,
+            ConcurrentFault::HolderKilled,
+        ),
         case(
             "the holder stands still meanwhile",
             1_000,
-            Beside::HolderFrozen,
+            ConcurrentFault::HolderFrozen,
         ),
-        case("orders come late", 500, Beside::LateOrders),
+        case("orders come late", 500, ConcurrentFault::LateOrders),
         case(
             "orders come late to a missed one",
             2_000,
-            Beside::LateOrders,
+            ConcurrentFault::LateOrders,
+        ),
+        case(
+            "the store loses answers",
+            400,
+            ConcurrentFault::StoreLosesAnswers,
+        ),
+        case("the store is away", 600, ConcurrentFault::StoreAway),
+        case("cut off as it comes back", 300, ConcurrentFault::Cut),
+        case(
+            "cut off as it comes back, later",
+            2_000,
+            ConcurrentFault::Cut,
         ),
-        case("the store loses answers", 400, Beside::StoreLosesAnswers),
-        case("the store is away", 600, Beside::StoreAway),
-        case("cut off as it comes back", 300, Beside::Cut),
-        case("cut off as it comes back, later", 2_000, Beside::Cut),
     ];
     let mut broken = Vec::new();
     for case in cases {
         for seed in 1..=4 {
-            let found = play(case.reborn_ms, case.beside, seed);
+            let found = run_crashes(case.restart_delay_ms, case.concurrent_fault, seed);
             if let Some(first) = found.first() {
                 let count = found.len();
                 broken.push(format!(
@@ -187,7 +207,7 @@
 }
 
 /// Takes the starts of endpoints out of a row, as the version before wrote it.
-fn without_starts(bytes: &[u8]) -> Vec<u8> {
+fn without_start_times(bytes: &[u8]) -> Vec<u8> {
     fn strip(value: &mut Value) {
         match value {
             Value::Map(entries) => {
@@ -208,26 +228,26 @@
 }
 
 #[test]
-fn rows_of_the_version_before_are_taken_over() {
+fn rows_without_start_times_are_read_after_a_takeover() {
     for seed in 1..=8 {
         let mut world = World::new(3, ENDPOINTS, seed);
         world.keep_names();
-        world.reborn_ms = 600;
+        world.restart_delay_ms = 600;
         world.run(1_500);
         let mut next = 1;
         for round in 0..3 {
             let until_ms = world.now + BETWEEN_MS;
             next = submit_until(&mut world, until_ms, next);
-            strike(&mut world, round, Beside::HolderKilled);
-            world.store.rewrite(without_starts);
+            inject_fault(&mut world, round, ConcurrentFault::HolderKilled);
+            world.store.rewrite(without_start_times);
         }
-        settle(&mut world);
+        settle_and_check(&mut world);
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
-fn nothing_new_is_started_where_an_entry_speaks_of_another_life() {
+fn nothing_is_started_while_the_entry_describes_an_earlier_incarnation() {
     struct Case {
         name: &'static str,
         /// Time for which a restarted endpoint does not reach the store, so that its old entry stands.
@@ -249,8 +269,8 @@
     for case in cases {
         let mut world = World::new(3, 1, 7);
         world.keep_names();
-        world.beats = true;
-        world.reborn_ms = 300;
+        world.uses_reported_entries = true;
+        world.restart_delay_ms = 300;
         world.run(4_000);
         let now = world.now;
         let endpoint = world.endpoints.values_mut().next().expect("one");
--- a/crates/chervilfall_planner/tests/shapes.rs
+++ b/crates/chervilfall_planner/tests/shapes.rs
@@ -8,7 +8,7 @@
 use world::{step, World};
 
 /// Time of day in the world when its clock shows 0.
-const UNIX_MS: u64 = 1_700_000_000_000;
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 /// Endpoints on the first rack; the others stand on the second.
 const FIRST_RACK: usize = 2;
 /// Label of one endpoint.
@@ -139,7 +139,7 @@
     let first_due_ms = world.now + 800;
     let spec = JobSpec {
         repeat_count: 3,
-        first_due_unix_ms: UNIX_MS + first_due_ms,
+        first_due_unix_ms: START_UNIX_MS + first_due_ms,
         interval_ms: 600,
         ..job(step(2, 1_000))
     };
--- a/crates/chervilfall_planner/tests/haste.rs
+++ b/crates/chervilfall_planner/tests/speed_and_headroom.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn patient(queue: &Queue) -> Queue {
+fn latency_tolerant_queue(queue: &Queue) -> Queue {
     Queue {
         name: "patient".to_owned(),
         priority: 2,
@@ -33,7 +33,7 @@
     }
 }
 
-fn short(queue: &Queue) -> Queue {
+fn latency_sensitive_queue(queue: &Queue) -> Queue {
     Queue {
         name: "short".to_owned(),
         priority: 0,
@@ -100,13 +100,13 @@
         }
         world.run(1_500);
         let usual = world.queue.clone();
-        world.queue = patient(&usual);
+        world.queue = latency_tolerant_queue(&usual);
         for id in 1..=14 {
             assert_eq!(world.submit(id, job(step(30, 900))), Answer::Accepted);
             world.run(1_200);
         }
         world.run(6_000);
-        world.queue = short(&usual);
+        world.queue = latency_sensitive_queue(&usual);
         submit_short_jobs(&mut world, &step(1, SHORT_MS));
         let short_starts = |speed: u64| -> usize {
             let endpoints = world.endpoints.values();
@@ -131,7 +131,7 @@
 }
 
 /// Returns a step whose task takes most of an endpoint.
-fn wide() -> Step {
+fn wide_step() -> Step {
     Step {
         cpu_milli: 3_000,
         ..step(1, SHORT_MS)
@@ -140,27 +140,27 @@
 
 /// Returns a world whose holder knows what short work uses, with batch work wherever it may be; short work is
 /// handed in next.
-fn backlog(headroom: bool) -> World {
+fn world_with_backlog(headroom: bool) -> World {
     let mut world = World::new(3, ENDPOINTS, 3);
     world.limits.policies.headroom = headroom;
     world.run(1_500);
     let usual = world.queue.clone();
-    world.queue = short(&usual);
+    world.queue = latency_sensitive_queue(&usual);
     for id in 1..=10 {
-        assert_eq!(world.submit(id, job(wide())), Answer::Accepted);
+        assert_eq!(world.submit(id, job(wide_step())), Answer::Accepted);
         world.run(120);
     }
-    world.queue = patient(&usual);
+    world.queue = latency_tolerant_queue(&usual);
     for id in 101..=112 {
         assert_eq!(world.submit(id, job(step(40, 3_000))), Answer::Accepted);
     }
     world.run(500);
-    world.queue = short(&usual);
+    world.queue = latency_sensitive_queue(&usual);
     world
 }
 
 #[test]
-fn short_work_finds_room_beside_a_backlog() {
+fn short_work_finds_free_resources_beside_a_backlog() {
     struct Case {
         name: &'static str,
         headroom: bool,
@@ -179,8 +179,8 @@
         },
     ];
     for case in cases {
-        let mut world = backlog(case.headroom);
-        let handed_in = submit_short_jobs(&mut world, &wide());
+        let mut world = world_with_backlog(case.headroom);
+        let handed_in = submit_short_jobs(&mut world, &wide_step());
         let waits = waits_ms(&world, &handed_in);
         let soon = waits.iter().filter(|wait_ms| **wait_ms <= 250).count();
         let enough = soon * 10 >= waits.len() * 8;
@@ -196,12 +196,12 @@
 }
 
 #[test]
-fn work_that_lasts_does_not_wait_for_holes_that_are_kept_for_others() {
-    let mut world = backlog(true);
-    world.queue = patient(&world.queue);
+fn long_running_work_does_not_wait_for_headroom_reserved_for_others() {
+    let mut world = world_with_backlog(true);
+    world.queue = latency_tolerant_queue(&world.queue);
     let lasting = Step {
         long_running: true,
-        ..wide()
+        ..wide_step()
     };
     let handed_in = vec![(FIRST_SHORT, world.now)];
     assert_eq!(world.submit(FIRST_SHORT, job(lasting)), Answer::Accepted);
--- a/crates/chervilfall_planner/tests/world/callers.rs
+++ b/crates/chervilfall_planner/tests/world/callers.rs
@@ -11,16 +11,16 @@
         self.next_request += 1;
         let number = self.next_request;
         let to = ReplyTo { node: 0, number };
-        self.feed(node, Event::Request { to, request });
+        self.handle_event(node, Event::Request { to, request });
         Some((node, number))
     }
 
     /// Sends a request to a node and returns what it answers at once, if it does.
-    pub fn ask_node(&mut self, node: usize, request: Request) -> Option<Answer> {
+    pub fn request_to_node(&mut self, node: usize, request: Request) -> Option<Answer> {
         self.next_request += 1;
         let number = self.next_request;
         let to = ReplyTo { node: 0, number };
-        self.feed(node, Event::Request { to, request });
+        self.handle_event(node, Event::Request { to, request });
         self.nodes[node].replies.get(&number).copied()
     }
 
--- a/crates/chervilfall_planner/tests/world/endpoint.rs
+++ b/crates/chervilfall_planner/tests/world/endpoint.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use chervilfall_planner::{
-    EndedRun, EndpointEntry, EndpointId, EndpointKey, HoldAnswer, HoldOrder, HoldReport, How,
+    EndReason, EndedRun, EndpointEntry, EndpointId, EndpointKey, HoldAnswer, HoldOrder, HoldReport,
     JobSpec, Refusal, Run, RunningRun, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskKey,
 };
 
@@ -12,10 +12,10 @@
 /// Milliseconds that a stop takes.
 const STOP_MS: u64 = 200;
 /// Milliseconds between an endpoint's reports of itself.
-const BEAT_MS: u64 = 1_500;
+const REPORT_INTERVAL_MS: u64 = 1_500;
 /// Milliseconds for which processor that an endpoint has lost still counts for starts: a time to be in touch, and a
 /// beat.
-const SHRINK_GRACE_MS: u64 = 3_000 + BEAT_MS;
+const SHRINK_GRACE_MS: u64 = 3_000 + REPORT_INTERVAL_MS;
 /// Longest lease in milliseconds; a longer one is shortened to this.
 const LONGEST_LEASE_MS: u64 = 6_000;
 /// Milliseconds that a run takes to resume from a checkpoint.
@@ -71,7 +71,7 @@
 
 /// Tasks that bring down the endpoints that start them.
 #[derive(Debug, Clone, Copy)]
-pub struct Crashing {
+pub struct CrashBehavior {
     /// How long such a run works first.
     pub after_ms: u64,
     /// Only the task at this position does; none for all of the job.
@@ -95,7 +95,7 @@
     /// When this incarnation was started.
     pub started_ms: u64,
     /// Processor that it has had before, and until when.
-    past_rooms: Vec<(u64, u32)>,
+    past_capacities: Vec<(u64, u32)>,
     /// What it last said of itself, where that is not read at once.
     pub reported: Option<EndpointEntry>,
     next_report_ms: u64,
@@ -106,9 +106,9 @@
     /// Starts that it had no room for.
     overfilled: Vec<String>,
     /// Runs that a crash ended, until the members of their gangs know.
-    pub lost: Vec<(TaskKey, Run)>,
+    pub lost_runs: Vec<(TaskKey, Run)>,
     /// Tasks that were there when it crashed, for each crash.
-    pub crashed_with: Vec<TaskKey>,
+    pub running_at_crashes: Vec<TaskKey>,
     /// It has crashed and a new incarnation stands at its address.
     pub replaced: bool,
     pub cut_until_ms: u64,
@@ -122,18 +122,18 @@
     pub running: BTreeMap<TaskKey, FakeRun>,
     pub starts: Vec<(u64, TaskKey, Run)>,
     /// Those of them that a node in touch ordered, and that were not carried out late.
-    pub starts_in_touch: Vec<(u64, TaskKey, Run)>,
+    pub starts_by_undisturbed_nodes: Vec<(u64, TaskKey, Run)>,
     /// Ends whose lease held until they were acknowledged, with the time of the end.
-    pub noted: Vec<(TaskKey, Run, How, u64)>,
+    pub acknowledged_ends: Vec<(TaskKey, Run, EndReason, u64)>,
     /// All runs that it has reported as failed, noted or not.
     pub failed: Vec<(TaskKey, Run)>,
     ended: Vec<EndedRun>,
     /// Times of ends by number, as long as the lease has held since.
-    valid: BTreeMap<u64, u64>,
+    ends_under_lease: BTreeMap<u64, u64>,
     next_end: u64,
     fence: u64,
     until_ms: u64,
-    barred: BTreeMap<TaskKey, Run>,
+    highest_barred_runs: BTreeMap<TaskKey, Run>,
     holds: Vec<WaitingHold>,
     clock_offset_ms: u64,
 }
@@ -151,15 +151,15 @@
             past_crashes: Vec::new(),
             born_ms: None,
             started_ms: 0,
-            past_rooms: Vec::new(),
+            past_capacities: Vec::new(),
             reported: None,
             next_report_ms: 0,
             last_report_ms: 0,
             reports: 0,
             store_cut_until_ms: 0,
             overfilled: Vec::new(),
-            lost: Vec::new(),
-            crashed_with: Vec::new(),
+            lost_runs: Vec::new(),
+            running_at_crashes: Vec::new(),
             replaced: false,
             cut_until_ms: 0,
             domain: 0,
@@ -169,15 +169,15 @@
             labels: BTreeSet::new(),
             running: BTreeMap::new(),
             starts: Vec::new(),
-            starts_in_touch: Vec::new(),
-            noted: Vec::new(),
+            starts_by_undisturbed_nodes: Vec::new(),
+            acknowledged_ends: Vec::new(),
             failed: Vec::new(),
             ended: Vec::new(),
-            valid: BTreeMap::new(),
+            ends_under_lease: BTreeMap::new(),
             next_end: 1,
             fence: 0,
             until_ms: 0,
-            barred: BTreeMap::new(),
+            highest_barred_runs: BTreeMap::new(),
             holds: Vec::new(),
             clock_offset_ms: number as u64 * 100_000,
         }
@@ -202,34 +202,34 @@
 
     /// Has more or less processor from now on.
     pub fn resize(&mut self, now: u64, cpu_milli: u32) {
-        self.past_rooms.push((now, self.cpu_milli));
+        self.past_capacities.push((now, self.cpu_milli));
         self.cpu_milli = cpu_milli;
     }
 
     /// Returns the processor that starts may use: what was lost counts for a while, so that the endpoint can say so.
-    fn startable(&self, now: u64) -> u32 {
-        let past = self.past_rooms.iter();
+    fn startable_cpu_milli(&self, now: u64) -> u32 {
+        let past = self.past_capacities.iter();
         let recent = past.filter(|(until_ms, _)| until_ms + SHRINK_GRACE_MS > now);
         let recent = recent.map(|(_, cpu)| *cpu).max();
         recent.unwrap_or(0).max(self.cpu_milli)
     }
 
     /// Says in the store what it is, each beat; an entry that is not renewed lapses.
-    pub fn report(&mut self, now: u64, store_away: bool) {
+    pub fn write_report(&mut self, now: u64, store_away: bool) {
         let cut = store_away || self.dead || self.store_cut_until_ms > now;
         if now >= self.next_report_ms && !cut {
-            self.next_report_ms = now + BEAT_MS;
+            self.next_report_ms = now + REPORT_INTERVAL_MS;
             self.last_report_ms = now;
             self.reports += 1;
             self.reported = Some(self.entry());
         }
-        if now >= self.last_report_ms + 3 * BEAT_MS && !store_away {
+        if now >= self.last_report_ms + 3 * REPORT_INTERVAL_MS && !store_away {
             self.reported = None;
         }
     }
 
     /// Returns the incarnation that follows a crash at the same place.
-    pub fn reborn(&self, number: usize) -> Self {
+    pub fn next_incarnation(&self, number: usize) -> Self {
         Self {
             address: self.address.clone(),
             domain: self.domain,
@@ -243,18 +243,18 @@
     pub fn start_again(&mut self, now: u64, born_ms: u64, clock_offset_ms: u64) {
         self.dead = false;
         self.past_crashes.extend(self.crashed.take());
-        self.past_rooms.clear();
+        self.past_capacities.clear();
         self.born_ms = Some(born_ms);
         self.started_ms = now;
         self.clock_offset_ms = clock_offset_ms;
         self.next_report_ms = now;
         self.reports = 0;
         self.ended.clear();
-        self.valid.clear();
+        self.ends_under_lease.clear();
         self.next_end = 1;
         self.fence = 0;
         self.until_ms = 0;
-        self.barred.clear();
+        self.highest_barred_runs.clear();
     }
 
     /// Returns when it crashed in all its lives, and which task brought it down.
@@ -267,9 +267,9 @@
         if !self.dead {
             self.dead = true;
             self.crashed = Some((now, culprit));
-            self.crashed_with.extend(self.running.keys().copied());
-            let lost = std::mem::take(&mut self.running).into_iter();
-            self.lost = lost.map(|(task, run)| (task, run.run)).collect();
+            self.running_at_crashes.extend(self.running.keys().copied());
+            let lost_runs = std::mem::take(&mut self.running).into_iter();
+            self.lost_runs = lost_runs.map(|(task, run)| (task, run.run)).collect();
         }
     }
 
@@ -284,9 +284,9 @@
         self.until_ms = self.until_ms.max(until_ms);
     }
 
-    fn end(&mut self, now: u64, task: TaskKey, run: Run, how: How, checkpoint: String) {
-        self.valid.insert(self.next_end, now);
-        if how == How::Failed {
+    fn end(&mut self, now: u64, task: TaskKey, run: Run, how: EndReason, checkpoint: String) {
+        self.ends_under_lease.insert(self.next_end, now);
+        if how == EndReason::Failed {
             self.failed.push((task, run));
         }
         self.ended.push(EndedRun {
@@ -299,7 +299,7 @@
         self.next_end += 1;
     }
 
-    pub fn pass(&mut self, now: u64, violations: &mut Vec<String>) {
+    pub fn advance(&mut self, now: u64, violations: &mut Vec<String>) {
         let culprit = self
             .running
             .iter()
@@ -314,22 +314,22 @@
         }
         let lapsed = self.clock(now) >= self.until_ms;
         if lapsed {
-            self.valid.clear();
+            self.ends_under_lease.clear();
         }
-        let due: Vec<(TaskKey, How)> = self
+        let due: Vec<(TaskKey, EndReason)> = self
             .running
             .iter()
             .filter_map(|(task, run)| {
                 let how = if lapsed {
-                    How::Lapsed
+                    EndReason::Lapsed
                 } else if run.broken {
-                    How::Broken
+                    EndReason::Broken
                 } else if run.stops_ms.is_some_and(|at| now >= at) {
-                    How::Stopped
+                    EndReason::Stopped
                 } else if now >= run.ends_ms && (run.fails || self.fails_all) {
-                    How::Failed
+                    EndReason::Failed
                 } else if now >= run.ends_ms {
-                    How::Done
+                    EndReason::Done
                 } else {
                     return None;
                 };
@@ -339,17 +339,17 @@
         for (task, how) in due {
             let ended = self.running.remove(&task).expect("listed");
             let run = ended.run;
-            let checkpoint = if how == How::Stopped {
+            let checkpoint = if how == EndReason::Stopped {
                 ended.checkpoint(now)
             } else {
                 String::new()
             };
-            let barred = self.barred.entry(task).or_insert(0);
+            let barred = self.highest_barred_runs.entry(task).or_insert(0);
             *barred = (*barred).max(run);
             self.end(now, task, run, how, checkpoint);
         }
         let used: u32 = self.running.values().map(|run| run.cpu_milli).sum();
-        let past = self.past_rooms.iter().map(|(_, cpu)| *cpu).max();
+        let past = self.past_capacities.iter().map(|(_, cpu)| *cpu).max();
         let most = past.unwrap_or(0).max(self.cpu_milli);
         if used > most {
             violations.push(format!("{} carries {used} of {most} at {now}", self.id));
@@ -362,7 +362,7 @@
         now: u64,
         order: &StartOrder,
         spec: Option<&JobSpec>,
-        crashing: Option<Crashing>,
+        crashing: Option<CrashBehavior>,
         random: &mut Random,
     ) -> StartAnswer {
         if order.fence < self.fence {
@@ -377,7 +377,7 @@
             return StartAnswer::Accepted;
         }
         let barred = self
-            .barred
+            .highest_barred_runs
             .get(&order.task)
             .is_some_and(|run| *run >= order.run);
         if barred {
@@ -398,11 +398,11 @@
         self.starts.push((now, order.task, order.run));
         let used: u32 = self.running.values().map(|run| run.cpu_milli).sum();
         let used = used + step.map_or(0, |step| step.cpu_milli);
-        let startable = self.startable(now);
-        if used > startable {
+        let startable_cpu_milli = self.startable_cpu_milli(now);
+        if used > startable_cpu_milli {
             let task = order.task;
             let line = format!(
-                "{task} brings {} to {used} of {startable} at {now}",
+                "{task} brings {} to {used} of {startable_cpu_milli} at {now}",
                 self.id
             );
             self.overfilled.push(line);
@@ -431,7 +431,7 @@
             return StopAnswer::Fenced;
         }
         self.fence = order.fence;
-        let barred = self.barred.entry(order.task).or_insert(0);
+        let barred = self.highest_barred_runs.entry(order.task).or_insert(0);
         *barred = (*barred).max(order.run);
         if let Some(run) = self
             .running
@@ -467,8 +467,9 @@
             .iter()
             .filter(|end| end.number <= order.acknowledged)
         {
-            if let Some(at_ms) = self.valid.get(&end.number) {
-                self.noted.push((end.task, end.run, end.how, *at_ms));
+            if let Some(at_ms) = self.ends_under_lease.get(&end.number) {
+                self.acknowledged_ends
+                    .push((end.task, end.run, end.how, *at_ms));
             }
         }
         self.ended.retain(|end| end.number > order.acknowledged);
--- a/crates/chervilfall_planner/tests/world/mod.rs
+++ b/crates/chervilfall_planner/tests/world/mod.rs
@@ -16,30 +16,30 @@
 use std::time::Duration;
 
 use chervilfall_planner::{
-    Action, AdviceTerms, Answer, Batch, Candidate, Configuration, EndpointId, EndpointKey, Event,
+    Action, AdviceTimings, Answer, Batch, Candidate, Configuration, EndpointId, EndpointKey, Event,
     Identity, JobId, JobSpec, Limits, Planner, Queue, StartNote, Step, TaskKey,
 };
 
-use endpoint::{Crashing, FakeEndpoint};
+use endpoint::{CrashBehavior, FakeEndpoint};
 use random::Random;
 use store::FakeStore;
 
 /// Milliseconds that an order or a transaction takes each way.
-const HOP_MS: u64 = 2;
+const ONE_WAY_DELAY_MS: u64 = 2;
 /// Time of day when the world begins, in milliseconds since 1970.
-const UNIX_MS: u64 = 1_700_000_000_000;
+const START_UNIX_MS: u64 = 1_700_000_000_000;
 /// Milliseconds after which a caller of an endpoint or the store gives up.
 const TIMEOUT_MS: u64 = 500;
 
 /// Something that happens later.
 #[derive(Debug, Clone)]
-pub enum Later {
+pub enum ScheduledEvent {
     /// An order reaches its endpoint.
-    Arrive(usize, u64, Box<Action>, u64),
+    DeliverOrder(usize, u64, Box<Action>, u64),
     /// An event reaches a planner of a term.
-    Tell(usize, u64, Box<Event>),
+    DeliverEvent(usize, u64, Box<Event>),
     /// A transaction reaches the store.
-    Commit(usize, u64, Box<Batch>, bool),
+    ApplyCommit(usize, u64, Box<Batch>, bool),
 }
 
 /// A node that may hold the group.
@@ -68,7 +68,7 @@
     pub endpoints: BTreeMap<EndpointId, FakeEndpoint>,
     pub config: Arc<Configuration>,
     pub queue: Queue,
-    pub later: BTreeMap<(u64, u64), Later>,
+    pub scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     pub sequence: u64,
     pub random: Random,
     /// Part of the orders, in percent, that get no answer and are carried out late.
@@ -76,7 +76,7 @@
     /// When an answer of the store could last be lost.
     store_lossy_ms: u64,
     /// Failure domains are cut off from each other until then.
-    pub split_until_ms: u64,
+    pub partitioned_until_ms: u64,
     /// Tasks that are done, by noted ends.
     pub violations: Vec<String>,
     /// Faults and takeovers, for stories.
@@ -94,11 +94,11 @@
     pub refused: BTreeSet<JobId>,
     pub cancelled: BTreeSet<JobId>,
     /// Jobs whose tasks bring their endpoints down.
-    pub crashing: BTreeMap<JobId, Crashing>,
+    pub crashing: BTreeMap<JobId, CrashBehavior>,
     /// The list shows what endpoints have last said of themselves, in place of what they are.
-    pub beats: bool,
+    pub uses_reported_entries: bool,
     /// Crashed endpoints come back after this time.
-    pub reborn_ms: u64,
+    pub restart_delay_ms: u64,
     /// They start again under the name that they had.
     keeps_names: bool,
     next_request: u64,
@@ -124,7 +124,7 @@
             attempts: 2,
             stretch: 2.0,
             target_latency_ms: 1_000,
-            advice: Some(AdviceTerms {
+            advice: Some(AdviceTimings {
                 decide_ms: 10.0,
                 each_ms: 0.1,
                 valid_ms: 1_500,
@@ -160,12 +160,12 @@
             endpoints: endpoints.collect(),
             config: Arc::new(config),
             queue,
-            later: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             sequence: 0,
             random: Random::new(seed),
             late_percent: 0,
             store_lossy_ms: 0,
-            split_until_ms: 0,
+            partitioned_until_ms: 0,
             violations: Vec::new(),
             faults: Vec::new(),
             advisors: 4,
@@ -177,17 +177,17 @@
             refused: BTreeSet::new(),
             cancelled: BTreeSet::new(),
             crashing: BTreeMap::new(),
-            beats: false,
-            reborn_ms: 4_000,
+            uses_reported_entries: false,
+            restart_delay_ms: 4_000,
             keeps_names: false,
             next_request: 0,
         }
     }
 
-    fn after(&mut self, delay_ms: u64, later: Later) {
+    fn schedule(&mut self, delay_ms: u64, scheduled: ScheduledEvent) {
         self.sequence += 1;
-        self.later
-            .insert((self.now + delay_ms, self.sequence), later);
+        self.scheduled
+            .insert((self.now + delay_ms, self.sequence), scheduled);
     }
 
     /// Lets time pass.
@@ -195,21 +195,21 @@
         let end = self.now + for_ms;
         while self.now < end {
             self.now += 5;
-            if self.store.lost_percent > 0 {
+            if self.store.lost_answer_percent > 0 {
                 self.store_lossy_ms = self.now;
             }
-            self.happen();
+            self.deliver_due_events();
             let now = self.now;
             let store_away = self.store.down_until_ms > now;
             for endpoint in self.endpoints.values_mut() {
-                endpoint.pass(now, &mut self.violations);
-                endpoint.report(now, store_away);
+                endpoint.advance(now, &mut self.violations);
+                endpoint.write_report(now, store_away);
             }
-            self.break_gangs();
-            self.bring_back();
+            self.break_gangs_with_lost_members();
+            self.restart_crashed_endpoints();
             self.answer_holds();
             for node in 0..self.nodes.len() {
-                self.drive(node);
+                self.run_node(node);
             }
             self.check();
         }
@@ -230,17 +230,19 @@
         );
     }
 
-    fn happen(&mut self) {
-        while let Some(entry) = self.later.first_entry() {
+    fn deliver_due_events(&mut self) {
+        while let Some(entry) = self.scheduled.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             match entry.remove() {
-                Later::Arrive(node, term, action, sent_ms) => {
-                    self.arrive(node, term, *action, sent_ms);
+                ScheduledEvent::DeliverOrder(node, term, action, sent_ms) => {
+                    self.deliver_order(node, term, *action, sent_ms);
                 }
-                Later::Tell(node, term, event) => self.tell(node, term, *event),
-                Later::Commit(node, term, batch, answered) => {
+                ScheduledEvent::DeliverEvent(node, term, event) => {
+                    self.deliver_event(node, term, *event);
+                }
+                ScheduledEvent::ApplyCommit(node, term, batch, answered) => {
                     let outcome = self.store.commit(self.now, &batch);
                     if answered && self.now < self.store.down_until_ms {
                         // The store went away while the call was on its way.
@@ -253,7 +255,10 @@
                             copy,
                             outcome,
                         };
-                        self.after(HOP_MS, Later::Tell(node, term, Box::new(event)));
+                        self.schedule(
+                            ONE_WAY_DELAY_MS,
+                            ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+                        );
                     }
                 }
             }
@@ -261,10 +266,10 @@
     }
 
     /// Ends the members of gangs of which one was lost in a crash.
-    fn break_gangs(&mut self) {
+    fn break_gangs_with_lost_members(&mut self) {
         let crashed = self.endpoints.values_mut();
-        let lost = crashed.flat_map(|endpoint| std::mem::take(&mut endpoint.lost));
-        let lost: Vec<_> = lost.collect();
+        let lost_runs = crashed.flat_map(|endpoint| std::mem::take(&mut endpoint.lost_runs));
+        let lost: Vec<_> = lost_runs.collect();
         for (member, run) in lost {
             let steps = self.jobs.get(&member.job).map(|job| &job.steps);
             let step = steps.and_then(|steps| steps.get(usize::from(member.step)));
@@ -281,18 +286,18 @@
     }
 
     /// Puts a new incarnation in the place of each endpoint that crashed some time ago.
-    fn bring_back(&mut self) {
-        let (now, reborn_ms) = (self.now, self.reborn_ms);
+    fn restart_crashed_endpoints(&mut self) {
+        let (now, restart_delay_ms) = (self.now, self.restart_delay_ms);
         let due = self.endpoints.values_mut().filter(|endpoint| {
             let crashed = endpoint.crashed;
-            !endpoint.replaced && crashed.is_some_and(|(at_ms, _)| now >= at_ms + reborn_ms)
+            !endpoint.replaced && crashed.is_some_and(|(at_ms, _)| now >= at_ms + restart_delay_ms)
         });
         let mut back = Vec::new();
         for endpoint in due {
             if self.keeps_names {
                 // The time of day may have stepped back since the last start.
                 let stepped_ms = self.random.below(2) * self.random.below(20_000);
-                let born_ms = UNIX_MS + now - stepped_ms;
+                let born_ms = START_UNIX_MS + now - stepped_ms;
                 endpoint.start_again(now, born_ms, self.random.below(200_000));
                 self.faults
                     .push((now, format!("fault {} has started again", endpoint.id)));
@@ -300,11 +305,11 @@
             }
             endpoint.replaced = true;
             endpoint.listed = false;
-            back.push(endpoint.reborn(0));
+            back.push(endpoint.next_incarnation(0));
         }
         for endpoint in back {
             let number = self.endpoints.len();
-            let endpoint = endpoint.reborn(number);
+            let endpoint = endpoint.next_incarnation(number);
             self.endpoints.insert(endpoint.id.clone(), endpoint);
         }
     }
@@ -313,7 +318,7 @@
     pub fn keep_names(&mut self) {
         self.keeps_names = true;
         for endpoint in self.endpoints.values_mut() {
-            endpoint.born_ms = Some(UNIX_MS);
+            endpoint.born_ms = Some(START_UNIX_MS);
         }
     }
 
@@ -346,8 +351,8 @@
     }
 
     /// Returns how many endpoints have crashed under one task of a job, whoever caused it.
-    pub fn most_crashes_under(&self, job: JobId) -> usize {
-        oracle::most_crashes_under(&self.endpoints, job)
+    pub fn max_crashes_under(&self, job: JobId) -> usize {
+        oracle::max_crashes_under(&self.endpoints, job)
     }
 
     /// Returns whether a task of the job has failed as often as its queue allows, by what endpoints have reported.
@@ -357,18 +362,18 @@
     }
 
     fn check(&mut self) {
-        oracle::overlaps(self.endpoints.values(), self.now, &mut self.violations);
+        oracle::check_overlaps(self.endpoints.values(), self.now, &mut self.violations);
     }
 
     /// Returns what was seen of every task that a violation names, in order of time.
-    pub fn story(&self) -> String {
+    pub fn event_log(&self) -> String {
         let mut lines: Vec<(u64, String)> = Vec::new();
         for endpoint in self.endpoints.values() {
             let id = &endpoint.id;
             for (at_ms, task, run) in &endpoint.starts {
                 lines.push((*at_ms, format!("{task} run {run} starts on {id}")));
             }
-            for (task, run, how, at_ms) in &endpoint.noted {
+            for (task, run, how, at_ms) in &endpoint.acknowledged_ends {
                 lines.push((
                     *at_ms,
                     format!("{task} run {run} ends {how:?} on {id}, noted"),
@@ -395,13 +400,13 @@
     /// Looks at the whole history.
     pub fn check_history(&mut self) {
         let attempts = self.queue.attempts as usize;
-        oracle::history(
+        oracle::check_history(
             self.endpoints.values(),
             attempts,
             &self.refused,
             &mut self.violations,
         );
-        oracle::crashes(&self.endpoints, &mut self.violations);
+        oracle::check_crashes(&self.endpoints, &mut self.violations);
     }
 
     /// Returns the node that holds the group, if one does.
--- a/crates/chervilfall_planner/tests/world/oracle.rs
+++ b/crates/chervilfall_planner/tests/world/oracle.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chervilfall_planner::{EndpointId, How, JobId, JobSpec, Run, TaskKey};
+use chervilfall_planner::{EndReason, EndpointId, JobId, JobSpec, Run, TaskKey};
 
 use super::endpoint::FakeEndpoint;
 
 /// Looks at what runs now: no task twice at once.
-pub fn overlaps<'a>(
+pub fn check_overlaps<'a>(
     endpoints: impl Iterator<Item = &'a FakeEndpoint>,
     now: u64,
     violations: &mut Vec<String>,
@@ -24,7 +24,7 @@
 
 /// Looks at all that was started and noted: no start after a noted end as done, none after the last
 /// attempt, none of a refused job.
-pub fn history<'a>(
+pub fn check_history<'a>(
     endpoints: impl Iterator<Item = &'a FakeEndpoint> + Clone,
     attempts: usize,
     refused: &BTreeSet<JobId>,
@@ -32,12 +32,15 @@
 ) {
     let mut done: BTreeMap<TaskKey, u64> = BTreeMap::new();
     let mut failed: BTreeMap<TaskKey, BTreeMap<u64, u64>> = BTreeMap::new();
-    for (task, run, how, at_ms) in endpoints.clone().flat_map(|endpoint| &endpoint.noted) {
+    for (task, run, how, at_ms) in endpoints
+        .clone()
+        .flat_map(|endpoint| &endpoint.acknowledged_ends)
+    {
         match how {
-            How::Done => {
+            EndReason::Done => {
                 done.insert(*task, *at_ms);
             }
-            How::Failed => {
+            EndReason::Failed => {
                 failed.entry(*task).or_default().insert(*run, *at_ms);
             }
             _ => {}
@@ -66,14 +69,14 @@
 }
 
 /// Crashes under a task after which only few more starts are allowed.
-const CRASHES: usize = 3;
+const CRASH_THRESHOLD: usize = 3;
 /// Starts after these that are too many, by nodes in touch.
-const STARTS_AFTER: usize = 3;
+const TOO_MANY_STARTS: usize = 3;
 /// The same by any node: one that is cut off from the store starts what it had accepted, and nobody may hear of it.
-const STARTS_AFTER_BY_ANY: usize = 5;
+const TOO_MANY_STARTS_BY_ANY: usize = 5;
 
 /// Looks at the tasks that bring endpoints down: few starts after the third crash.
-pub fn crashes(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, violations: &mut Vec<String>) {
+pub fn check_crashes(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, violations: &mut Vec<String>) {
     let mut crashes: BTreeMap<TaskKey, Vec<u64>> = BTreeMap::new();
     for (at_ms, culprit) in endpoints.values().flat_map(FakeEndpoint::crashes) {
         if let Some(task) = culprit {
@@ -82,7 +85,7 @@
     }
     for (task, mut times) in crashes {
         times.sort_unstable();
-        let Some(third_ms) = times.get(CRASHES - 1) else {
+        let Some(third_ms) = times.get(CRASH_THRESHOLD - 1) else {
             continue;
         };
         let after = |starts: &Vec<(u64, TaskKey, Run)>| {
@@ -94,9 +97,9 @@
         let any: usize = any.sum();
         let in_touch = endpoints
             .values()
-            .map(|endpoint| after(&endpoint.starts_in_touch));
+            .map(|endpoint| after(&endpoint.starts_by_undisturbed_nodes));
         let in_touch: usize = in_touch.sum();
-        if in_touch >= STARTS_AFTER || any >= STARTS_AFTER_BY_ANY {
+        if in_touch >= TOO_MANY_STARTS || any >= TOO_MANY_STARTS_BY_ANY {
             violations.push(format!(
                 "{task} started {any} times, {in_touch} by nodes in touch, after its third crash at {third_ms}"
             ));
@@ -105,11 +108,11 @@
 }
 
 /// Returns how many endpoints have crashed under one task of a job, whoever caused it.
-pub fn most_crashes_under(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, job: JobId) -> usize {
+pub fn max_crashes_under(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, job: JobId) -> usize {
     let mut crashes: BTreeMap<TaskKey, usize> = BTreeMap::new();
     let there = endpoints
         .values()
-        .flat_map(|endpoint| &endpoint.crashed_with);
+        .flat_map(|endpoint| &endpoint.running_at_crashes);
     for task in there.filter(|task| task.job == job) {
         *crashes.entry(*task).or_default() += 1;
     }
--- a/crates/chervilfall_planner/tests/world/store.rs
+++ b/crates/chervilfall_planner/tests/world/store.rs
@@ -16,7 +16,7 @@
     rows: BTreeMap<(String, String), (u64, Vec<u8>)>,
     pub down_until_ms: u64,
     /// Part of the transactions, in percent, that are not answered and carried out late.
-    pub lost_percent: u64,
+    pub lost_answer_percent: u64,
 }
 
 impl FakeStore {
