--- a/crates/chervilfall_planner/src/planner/advise.rs
+++ b/crates/chervilfall_planner/src/planner/advise.rs
@@ -57,9 +57,10 @@
     fn node_for_call(&self, slow: bool) -> Option<NodeId> {
         let calls = self.advice_calls.values();
         if slow {
-            let running = calls.clone().filter(|call| call.slow).count();
-            let most = (self.nodes.len() * SLOW_CALL_NODE_SHARE.0 / SLOW_CALL_NODE_SHARE.1).max(1);
-            if running >= most {
+            let slow_calls = calls.clone().filter(|call| call.slow).count();
+            let max_slow_calls =
+                (self.nodes.len() * SLOW_CALL_NODE_SHARE.0 / SLOW_CALL_NODE_SHARE.1).max(1);
+            if slow_calls >= max_slow_calls {
                 return None;
             }
         }
@@ -74,10 +75,10 @@
     pub(super) fn request_advice(
         &mut self,
         step: StepKey,
-        terms: AdviceTimings,
+        timings: AdviceTimings,
         keys: &[EndpointKey],
     ) -> bool {
-        let slow = terms.is_slow();
+        let slow = timings.is_slow();
         let Some(node) = self.node_for_call(slow) else {
             return false;
         };
@@ -100,14 +101,14 @@
         });
         let named: Vec<(EndpointId, EndpointKey)> = named.collect();
         let endpoints: Vec<EndpointId> = named.iter().map(|(id, _)| id.clone()).collect();
-        let timeout_ms = terms.call_ms(endpoints.len()) + self.limits.advice_slack_ms;
+        let timeout_ms = timings.call_ms(endpoints.len()) + self.limits.advice_slack_ms;
         self.advice_calls.insert(
             number,
             AdviceCall {
                 node,
                 step,
                 endpoints: named.into_iter().collect(),
-                valid_ms: terms.valid_ms,
+                valid_ms: timings.valid_ms,
                 sent_ms: self.now,
                 deadline_ms: self.now + timeout_ms + self.limits.advice_slack_ms,
                 slow,
@@ -143,12 +144,12 @@
         let Some(job) = self.jobs.get_mut(&call.step.job) else {
             return;
         };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let Some(progress) = job.step_progress_mut(call.step) else {
             return;
         };
         progress.advice.end_call(number);
-        if over || progress.complete() {
+        if job_ended || progress.complete() {
             return;
         }
         let AdviceAnswer::Granted(granted) = answer else {
--- a/crates/chervilfall_planner/src/planner/ask.rs
+++ b/crates/chervilfall_planner/src/planner/ask.rs
@@ -28,15 +28,15 @@
 }
 
 impl Planner {
-    /// Requests advice on endpoints that are not known for the step yet, or refreshes the tickets
-    /// of allowed endpoints with free capacity. Returns whether a call was made.
+    /// Requests advice on endpoints that were not asked about for the step yet, or refreshes the
+    /// tickets of allowed endpoints with free capacity. Returns whether a call was made.
     pub(super) fn request_advice_for_step(
         &mut self,
         pass: &Pass,
         key: StepKey,
         request: &StepRequest,
     ) -> bool {
-        let (Some(terms), Some(pool)) = (request.advice, pass.pools.get(&request.service)) else {
+        let (Some(timings), Some(pool)) = (request.advice, pass.pools.get(&request.service)) else {
             return false;
         };
         let Some(progress) = self
@@ -74,7 +74,7 @@
             let stale = usable
                 .iter()
                 .any(|endpoint| progress.advice.ticket(*endpoint, self.now).is_none());
-            return stale && self.request_advice(key, terms, &usable);
+            return stale && self.request_advice(key, timings, &usable);
         }
         let max_endpoints =
             (waiting * ENDPOINTS_PER_WAITING_TASK).max(MIN_ENDPOINTS_PER_CALL) as usize;
@@ -85,11 +85,12 @@
         }
         let named =
             self.unknown_by_free_capacity(pool, &progress.advice, request, left, free_resources);
-        !named.is_empty() && self.request_advice(key, terms, &named)
+        !named.is_empty() && self.request_advice(key, timings, &named)
     }
 
-    /// Returns up to `max_endpoints` endpoints that were not asked about yet: first those with enough
-    /// free resources, then by speed class as the latency class prefers, then by most free CPU.
+    /// Returns up to `max_endpoints` endpoints that were not asked about yet: first those with
+    /// enough free resources, then those whose speed class suits the latency class, then those with
+    /// the most free CPU.
     fn unknown_by_free_capacity(
         &self,
         pool: &[EndpointKey],
--- a/crates/chervilfall_planner/src/planner/crashes.rs
+++ b/crates/chervilfall_planner/src/planner/crashes.rs
@@ -112,17 +112,17 @@
     /// Records, before the start is sent, that a run of a suspect may be running.
     pub(super) fn record_planned_start(&mut self, task: TaskKey, run: Run, endpoint: &EndpointId) {
         let key = self.endpoint_keys.get(endpoint);
-        let there = key.and_then(|key| self.endpoints.get(*key));
-        let at_work = Exposure {
+        let endpoint_record = key.and_then(|key| self.endpoints.get(*key));
+        let exposure = Exposure {
             run,
             endpoint: endpoint.clone(),
-            born_ms: there.and_then(|there| there.born_ms),
+            born_ms: endpoint_record.and_then(|endpoint_record| endpoint_record.born_ms),
             fate: ExposureState::AtWork,
             new: true,
             alone: self.runs_exclusively(task.job, endpoint),
             answered: false,
         };
-        self.record_exposure(task, at_work);
+        self.record_exposure(task, exposure);
     }
 
     /// Returns whether no runs of other jobs are placed on an endpoint.
@@ -314,8 +314,9 @@
         let Some(entry) = self.unfinished_task(task) else {
             return;
         };
-        let at_work = |seen: &Exposure| seen.run == run && seen.fate == ExposureState::AtWork;
-        let position = entry.exposures.iter().position(at_work);
+        let is_of_live_run =
+            |seen: &Exposure| seen.run == run && seen.fate == ExposureState::AtWork;
+        let position = entry.exposures.iter().position(is_of_live_run);
         if let Some(position) = position {
             let seen = entry.exposures.remove(position);
             self.remove_exposed_task(&seen.endpoint, task);
@@ -332,9 +333,9 @@
         let Some(placed) = endpoint.placed.get(&task) else {
             return;
         };
-        let last_contact_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0);
+        let contact_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0);
         let run = placed.run;
-        if last_contact_ms < NEW_RUN_MS {
+        if contact_ms < NEW_RUN_MS {
             return;
         }
         let long_running = self.jobs.get(&task.job).is_some_and(|job| job.long_running);
@@ -344,7 +345,7 @@
         if entry.exposures.is_empty() {
             return;
         }
-        if long_running && last_contact_ms >= CLEARED_AFTER_MS {
+        if long_running && contact_ms >= CLEARED_AFTER_MS {
             entry.exposures.clear();
             self.unsaved.progress.insert(task.job);
             return;
--- a/crates/chervilfall_planner/src/planner/endpoints.rs
+++ b/crates/chervilfall_planner/src/planner/endpoints.rs
@@ -57,7 +57,7 @@
     pub(super) fn update_endpoint_list(&mut self, read_ms: Millis, entries: Vec<EndpointEntry>) {
         let mut listed: BTreeSet<EndpointId> = BTreeSet::new();
         for entry in entries {
-            if self.written_by_other_writer(&entry) {
+            if self.lacks_reported_start_time(&entry) {
                 log::warn!(endpoint:% = entry.id; "ignoring endpoint entry without the start time that the endpoint reports");
                 continue;
             }
@@ -78,9 +78,9 @@
         self.drop_endpoints();
     }
 
-    /// Returns whether an entry lacks the start time, which its endpoint always reports. Another
-    /// writer wrote it then.
-    fn written_by_other_writer(&self, entry: &EndpointEntry) -> bool {
+    /// Returns whether an entry lacks the start time that its endpoint reports: another writer
+    /// wrote it.
+    fn lacks_reported_start_time(&self, entry: &EndpointEntry) -> bool {
         let key = self.endpoint_keys.get(&entry.id);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
         entry.born_ms.is_none() && endpoint.is_some_and(|endpoint| endpoint.born_ms.is_some())
@@ -148,7 +148,8 @@
         };
         endpoint.hold_sent_ms = None;
         match answer {
-            // All runs that the next incarnation was ordered to start must be known.
+            // A partial list does not suffice: all runs that the next incarnation was ordered to
+            // start must be known.
             HoldAnswer::Report(report)
                 if endpoint.is_other_incarnation(report.born_ms) && !report.partial =>
             {
@@ -161,7 +162,7 @@
             // A hold is sent to the address in the entry. If that is the address of another
             // incarnation, its answer says nothing about this one.
             HoldAnswer::OtherIncarnation if endpoint.entry_is_of_incarnation() => {
-                self.incarnation_replaced(key);
+                self.give_up_replaced_endpoint(key);
             }
             HoldAnswer::Report(_)
             | HoldAnswer::OtherIncarnation
@@ -347,12 +348,12 @@
             return;
         };
         progress.placed += 1;
-        let full = progress.waiting() == 0;
+        let all_placed = progress.waiting() == 0;
         if let Some(entry) = progress.tasks.get_mut(task.index as usize) {
             entry.state = TaskState::Placed(endpoint, run);
             entry.last_run = entry.last_run.max(run);
         }
-        if full {
+        if all_placed {
             self.close_step(key);
         }
     }
@@ -405,7 +406,7 @@
         }
     }
 
-    pub(super) fn incarnation_replaced(&mut self, key: EndpointKey) {
+    pub(super) fn give_up_replaced_endpoint(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
--- a/crates/chervilfall_planner/src/planner/ends.rs
+++ b/crates/chervilfall_planner/src/planner/ends.rs
@@ -16,8 +16,8 @@
         let task = end.task;
         metrics::ended(end.how);
         self.update_quarantine(key, end);
-        let there = self.endpoints[key].placed.get(&task);
-        if let Some(placed) = there.filter(|placed| placed.run == end.run) {
+        let placed_there = self.endpoints[key].placed.get(&task);
+        if let Some(placed) = placed_there.filter(|placed| placed.run == end.run) {
             let since_ms = placed.confirmed_ms.filter(|_| !placed.resumed);
             if let (EndReason::Done, Some(since_ms)) = (end.how, since_ms) {
                 self.record_duration(key, task, since_ms);
@@ -50,13 +50,13 @@
             return;
         };
         // The members of a gang end together, at the speed of the slowest.
-        let alone = job
+        let independent = job
             .spec
             .steps
             .get(task.step as usize)
             .is_some_and(|step| !step.gang);
         let progress = job.step_progress_mut(task.step_key());
-        if let Some(progress) = progress.filter(|_| alone) {
+        if let Some(progress) = progress.filter(|_| independent) {
             progress.durations.push(DurationSample { endpoint, ms });
         }
     }
@@ -80,7 +80,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let gang = job
             .spec
             .steps
@@ -97,7 +97,7 @@
         }
         entry.state = TaskState::Waiting;
         progress.placed -= 1;
-        if over {
+        if job_ended {
             return;
         }
         self.clear_survived_exposure(task, run);
@@ -216,7 +216,7 @@
         let Some(step) = job.spec.steps.get(task.step as usize) else {
             return;
         };
-        let (gang, lasts) = (step.gang, step.long_running);
+        let (gang, long_running) = (step.gang, step.long_running);
         let index = if gang { 0 } else { task.index };
         let Some(progress) = job.step_progress_mut(key) else {
             return;
@@ -227,7 +227,7 @@
         let Some(entry) = progress.tasks.get_mut(index as usize) else {
             return;
         };
-        if lasts || entry.state == TaskState::Done || entry.failed.contains(&run) {
+        if long_running || entry.state == TaskState::Done || entry.failed.contains(&run) {
             return;
         }
         entry.failed.push(run);
--- a/crates/chervilfall_planner/src/planner/incarnations.rs
+++ b/crates/chervilfall_planner/src/planner/incarnations.rs
@@ -24,11 +24,11 @@
     /// executes.
     pub(super) fn replace_incarnation(
         &mut self,
-        before: EndpointKey,
+        old_key: EndpointKey,
         sent_ms: Millis,
         report: &HoldReport,
     ) {
-        let Some(endpoint) = self.endpoints.get(before) else {
+        let Some(endpoint) = self.endpoints.get(old_key) else {
             return;
         };
         metrics::started_again();
@@ -45,31 +45,33 @@
         let id = endpoint.entry.id.clone();
         let (before_ms, draining) = (endpoint.born_ms, endpoint.draining);
         self.unsaved.roster.insert(RosterBucket::of(&id));
-        let key = self.endpoints.insert(next);
-        self.endpoint_keys.insert(id.clone(), key);
+        let new_key = self.endpoints.insert(next);
+        self.endpoint_keys.insert(id.clone(), new_key);
 
-        self.move_runs(before, key, |task, placed| {
+        self.move_runs(old_key, new_key, |task, placed| {
             report_lists_run(report, task, placed.run).then(|| placed.clone())
         });
-        self.record_lost_runs(before, LossReason::Replaced);
+        self.record_lost_runs(old_key, LossReason::Replaced);
         if draining {
             self.record_gone_endpoint(&id, before_ms, true);
         }
         let now = self.now;
-        self.move_runs(before, key, |_, placed| in_flight_run(placed, sent_ms, now));
-        self.remove_replaced_record(before);
-        self.record_lists(key, report);
-        self.remove_from_barrier(before);
+        self.move_runs(old_key, new_key, |_, placed| {
+            in_flight_run(placed, sent_ms, now)
+        });
+        self.remove_replaced_record(old_key);
+        self.record_lists(new_key, report);
+        self.remove_from_barrier(old_key);
     }
 
     /// Moves the runs for which `kept` returns a record to the next incarnation.
     fn move_runs(
         &mut self,
-        before: EndpointKey,
-        key: EndpointKey,
+        old_key: EndpointKey,
+        new_key: EndpointKey,
         kept: impl Fn(TaskKey, &PlacedRun) -> Option<PlacedRun>,
     ) {
-        let Some(endpoint) = self.endpoints.get(before) else {
+        let Some(endpoint) = self.endpoints.get(old_key) else {
             return;
         };
         let runs = endpoint.placed.iter();
@@ -77,35 +79,41 @@
             .filter_map(|(task, placed)| Some((*task, kept(*task, placed)?)))
             .collect();
         for (task, mut placed) in runs {
-            self.release_run(before, task);
+            self.release_run(old_key, task);
             if let RunPhase::Stopping { .. } = placed.phase {
                 // A stop that the earlier incarnation received is lost with it.
                 placed.phase = RunPhase::Stopping {
                     sent_ms: None,
                     taken_ms: None,
                 };
-                self.stopping.insert(key, task);
+                self.stopping.insert(new_key, task);
             }
-            self.update_placement(task, before, key, placed.run);
-            self.record_run(key, task, placed);
+            self.update_placement(task, old_key, new_key, placed.run);
+            self.record_run(new_key, task, placed);
         }
     }
 
     /// Updates the endpoint on which the run of a task is placed.
-    fn update_placement(&mut self, task: TaskKey, before: EndpointKey, key: EndpointKey, run: Run) {
+    fn update_placement(
+        &mut self,
+        task: TaskKey,
+        old_key: EndpointKey,
+        new_key: EndpointKey,
+        run: Run,
+    ) {
         let job = self.jobs.get_mut(&task.job);
         let progress = job.and_then(|job| job.step_progress_mut(task.step_key()));
         let entry = progress.and_then(|progress| progress.tasks.get_mut(task.index as usize));
-        if let Some(entry) = entry.filter(|entry| entry.state == TaskState::Placed(before, run)) {
-            entry.state = TaskState::Placed(key, run);
+        if let Some(entry) = entry.filter(|entry| entry.state == TaskState::Placed(old_key, run)) {
+            entry.state = TaskState::Placed(new_key, run);
         }
     }
 
     /// Gives up the remaining runs of an earlier incarnation and removes its record.
-    fn remove_replaced_record(&mut self, before: EndpointKey) {
-        self.requeue_lost_runs(before, LossReason::Replaced);
-        self.unsaved.acknowledgements.remove(before);
-        self.endpoints.remove(before);
+    fn remove_replaced_record(&mut self, old_key: EndpointKey) {
+        self.requeue_lost_runs(old_key, LossReason::Replaced);
+        self.unsaved.acknowledgements.remove(old_key);
+        self.endpoints.remove(old_key);
     }
 }
 
--- a/crates/chervilfall_planner/src/planner/schedule.rs
+++ b/crates/chervilfall_planner/src/planner/schedule.rs
@@ -30,8 +30,8 @@
 /// takes 2 ms of a core. A full pass at every tick would use a fifth of a core, and a holder has
 /// half a core or less.
 const FULL_PASS_INTERVAL_MS: Millis = 30;
-/// Steps of the best rank that the passes between full ones visit: short requests rank first and
-/// cannot wait for a full pass.
+/// Number of best-ranked steps that the passes between full ones visit: short requests rank first
+/// and cannot wait for a full pass.
 const SHORT_PASS_STEPS: usize = 24;
 
 /// Values shared by all steps of a pass.
@@ -61,7 +61,7 @@
         &self.spec.steps[self.step_index]
     }
 
-    pub(super) fn need(&self) -> Resources {
+    pub(super) fn required_resources(&self) -> Resources {
         Resources::of_step(self.step())
     }
 }
@@ -73,8 +73,8 @@
         }
         self.count_unconfirmed();
         let mut pass = self.begin_pass();
-        let whole = self.now.saturating_sub(self.last_full_pass_ms) >= FULL_PASS_INTERVAL_MS;
-        let keys = if whole {
+        let full = self.now.saturating_sub(self.last_full_pass_ms) >= FULL_PASS_INTERVAL_MS;
+        let keys = if full {
             self.last_full_pass_ms = self.now;
             self.rank_open_steps();
             self.open.keys()
@@ -119,8 +119,8 @@
         let (now, endpoints) = (self.now, &self.endpoints);
         let headroom_slots = self.headrooms.iter_mut().filter_map(|(service, headroom)| {
             let pool = pools.get(service)?;
-            let hurried = pool.iter().map(|key| endpoints[*key].sensitive_runs);
-            headroom.note_running(now, hurried.sum());
+            let running = pool.iter().map(|key| endpoints[*key].sensitive_runs);
+            headroom.note_running(now, running.sum());
             let free = pool.iter().map(|key| endpoints[*key].free());
             Some((service.clone(), headroom.slots(free)?))
         });
@@ -144,10 +144,10 @@
             return;
         }
         let advice = job.queue.advice;
-        let least = if step.gang { progress.waiting() } else { 1 };
+        let min_startable = if step.gang { progress.waiting() } else { 1 };
         // A step that its account's quota keeps from starting requests no advice, so that it does
         // not delay others.
-        if self.tasks_within_quota(key) < least {
+        if self.tasks_within_quota(key) < min_startable {
             return;
         }
         let blocked = job.inherited && self.barrier.is_some();
@@ -158,15 +158,16 @@
             return;
         }
         let placeable = !blocked && (advice.is_none() || progress.advice.any_ticket(self.now));
-        let idle = advice.is_some_and(|terms| {
-            if terms.is_slow() {
+        let call_possible = advice.is_some_and(|timings| {
+            if timings.is_slow() {
                 pass.slow_call_possible
             } else {
                 pass.fast_call_possible
             }
         });
-        let askable = idle && progress.advice.calls_in_flight() < max_calls_in_flight(step);
-        if !placeable && !askable {
+        let can_request_advice =
+            call_possible && progress.advice.calls_in_flight() < max_calls_in_flight(step);
+        if !placeable && !can_request_advice {
             return;
         }
         let request = StepRequest {
@@ -179,7 +180,7 @@
         if placeable {
             self.place_step(pass, key, &request);
         }
-        if askable {
+        if can_request_advice {
             while self.request_advice_for_step(pass, key, &request) {}
             pass.fast_call_possible = self.can_call_advice(false);
             pass.slow_call_possible = self.can_call_advice(true);
@@ -196,13 +197,14 @@
     }
 
     /// Returns the endpoints that the step may use now, including those reserved for it.
-    pub(super) fn exclusive_offers(&self, key: StepKey, request: &StepRequest) -> Vec<Offer> {
+    pub(super) fn offers_for_suspects(&self, key: StepKey, request: &StepRequest) -> Vec<Offer> {
         let candidates = self.candidates(key, request, || self.endpoints.keys().collect());
-        let takes = |endpoint: &Endpoint, now, limits: &Limits| {
-            let kept = endpoint.reserved_for(now);
-            kept.is_none_or(|step| step == key) && endpoint.accepts_reserved_work(now, limits)
+        let accepts = |endpoint: &Endpoint, now, limits: &Limits| {
+            let reserved_step = endpoint.reserved_for(now);
+            reserved_step.is_none_or(|step| step == key)
+                && endpoint.accepts_reserved_work(now, limits)
         };
-        self.usable_offers(candidates, key, request, takes)
+        self.usable_offers(candidates, key, request, accepts)
     }
 
     /// Returns the endpoints for which the step has tickets, or `all` if it needs no tickets.
@@ -226,18 +228,18 @@
         candidates: Vec<EndpointKey>,
         key: StepKey,
         request: &StepRequest,
-        takes: impl Fn(&Endpoint, Millis, &Limits) -> bool,
+        accepts: impl Fn(&Endpoint, Millis, &Limits) -> bool,
     ) -> Vec<Offer> {
         let job = self.jobs.get(&key.job);
         let Some(progress) = job.and_then(|job| job.step_progress(key)) else {
             return Vec::new();
         };
-        let need = request.need();
+        let need = request.required_resources();
         let usable = candidates.into_iter().filter_map(|endpoint_key| {
             let endpoint = self.endpoints.get(endpoint_key)?;
             let fits = endpoint.free().can_fit(need)
                 && endpoint.entry.service == request.service
-                && takes(endpoint, self.now, &self.limits);
+                && accepts(endpoint, self.now, &self.limits);
             fits.then_some((endpoint_key, endpoint))
         });
         let failed_on = &progress.failed_on;
@@ -262,13 +264,13 @@
         }
         let mut max_new_tasks = endpoint.max_new_tasks(self.now);
         if step.max_per_endpoint > 0 {
-            let there = endpoint
+            let placed_tasks = endpoint
                 .placed
                 .range(key.task(0)..=key.task(u32::MAX))
                 .count();
             let left = step
                 .max_per_endpoint
-                .saturating_sub(u32::try_from(there).unwrap_or(u32::MAX));
+                .saturating_sub(u32::try_from(placed_tasks).unwrap_or(u32::MAX));
             max_new_tasks = max_new_tasks.min(left);
         }
         let near = step
@@ -328,15 +330,15 @@
             return;
         }
         let mut offers = self.offers(pass, key, request);
-        let need = request.need();
+        let need = request.required_resources();
         let headroom_slots = pass.headroom_slots.get_mut(&request.service);
         let picks = match headroom_slots.filter(|_| self.must_leave_headroom(key, request)) {
             Some(slots) => pick_keeping_headroom(&mut offers, need, count, slots),
             None => pick_endpoints(&mut offers, need, count, request.latency_class),
         };
         let starts = waiting.iter().zip(picks);
-        let starts =
-            starts.map(|((index, last), endpoint)| (endpoint, *index, self.next_run(*last)));
+        let starts = starts
+            .map(|((index, last_run), endpoint)| (endpoint, *index, self.next_run(*last_run)));
         self.start_all(key, starts.collect());
     }
 
@@ -348,8 +350,8 @@
         request: &StepRequest,
         waiting: &WaitingTasks,
     ) {
-        let last = waiting.startable().map(|(_, last)| *last).max();
-        let run = self.next_run(last.unwrap_or(0));
+        let last_run = waiting.startable().map(|(_, last_run)| *last_run).max();
+        let run = self.next_run(last_run.unwrap_or(0));
         if !waiting.none_suspect() {
             self.place_gang_with_suspects(key, request, waiting, run);
             return;
@@ -394,7 +396,7 @@
         offers: &mut [Offer],
         count: u32,
     ) -> Vec<EndpointKey> {
-        let need = request.need();
+        let need = request.required_resources();
         if request.step().same_rack {
             let mut racks: BTreeMap<Option<&String>, Vec<Offer>> = BTreeMap::new();
             for offer in offers.iter() {
--- a/crates/chervilfall_planner/src/planner/suspects.rs
+++ b/crates/chervilfall_planner/src/planner/suspects.rs
@@ -97,12 +97,17 @@
             }
             let mut offers = self.least_loaded_offers(key, request, exclusive);
             let count = count(tasks);
-            let picks = pick_endpoints(&mut offers, request.need(), count, request.latency_class);
+            let picks = pick_endpoints(
+                &mut offers,
+                request.required_resources(),
+                count,
+                request.latency_class,
+            );
             if exclusive {
                 self.update_exclusive_search(key, request, count, picks.is_empty());
             }
-            for ((index, last), endpoint) in tasks.iter().zip(picks) {
-                let run = self.next_run(*last);
+            for ((index, last_run), endpoint) in tasks.iter().zip(picks) {
+                let run = self.next_run(*last_run);
                 self.announce(endpoint, key.task(*index), run, exclusive);
             }
         }
@@ -121,8 +126,13 @@
         let mut offers = self.least_loaded_offers(key, request, exclusive);
         let startable: Vec<WaitingTask> = waiting.startable().copied().collect();
         let count = count(&startable);
-        let picks = pick_all_or_none(&mut offers, request.need(), count, request.latency_class)
-            .unwrap_or_default();
+        let picks = pick_all_or_none(
+            &mut offers,
+            request.required_resources(),
+            count,
+            request.latency_class,
+        )
+        .unwrap_or_default();
         if exclusive {
             self.update_exclusive_search(key, request, count, picks.is_empty());
         }
@@ -144,7 +154,7 @@
         request: &StepRequest,
         exclusive: bool,
     ) -> Vec<Offer> {
-        let mut offers = self.exclusive_offers(key, request);
+        let mut offers = self.offers_for_suspects(key, request);
         if exclusive && self.exclusive_search_ms(key) < EMPTY_ENDPOINT_WAIT_MS {
             offers.retain(|offer| self.endpoints[offer.endpoint].placed.is_empty());
         }
@@ -181,24 +191,24 @@
         key: StepKey,
         request: &StepRequest,
         count: u32,
-        searches: bool,
+        searching: bool,
     ) {
         let now = self.now;
-        let need = request.need();
-        let mut offers = self.exclusive_offers(key, request);
+        let need = request.required_resources();
+        let mut offers = self.offers_for_suspects(key, request);
         // The wait does not begin while there is no usable endpoint at all.
-        let searches = searches && !offers.is_empty();
+        let searching = searching && !offers.is_empty();
         let job = self.jobs.get_mut(&key.job);
         if let Some(progress) = job.and_then(|job| job.step_progress_mut(key)) {
             let since_ms = progress.exclusive_since_ms.unwrap_or(now);
-            progress.exclusive_since_ms = searches.then_some(since_ms);
+            progress.exclusive_since_ms = searching.then_some(since_ms);
         }
-        if !searches {
+        if !searching {
             return;
         }
         offers.sort_by_key(|offer| {
-            let kept = self.endpoints[offer.endpoint].reserved_for(now).is_some();
-            (Reverse(kept), self.run_count(offer))
+            let reserved = self.endpoints[offer.endpoint].reserved_for(now).is_some();
+            (Reverse(reserved), self.run_count(offer))
         });
         let mut missing = if request.step().gang { count } else { 1 };
         for offer in offers {
