--- a/crates/chervilfall_planner/src/planner/advise.rs
+++ b/crates/chervilfall_planner/src/planner/advise.rs
@@ -1,7 +1,7 @@
-//! Calls for advice, spread over the nodes.
+//! Calls to the advice service, distributed over the nodes.
 //!
-//! The service takes one call at a time of each calling node, so a slow call holds up all that wait
-//! behind it. Each node has one call on its way; slow calls may use only some of the nodes.
+//! The service handles one call at a time per calling node, so a slow call delays all calls queued
+//! behind it. Each node has at most one call in flight; slow calls may use only some of the nodes.
 
 use std::collections::BTreeMap;
 
@@ -15,17 +15,18 @@
 use crate::planner::Planner;
 use crate::tasks::StepKey;
 
-/// Part of the nodes that slow calls may use, as a fraction. With a half, wide gangs on 350 endpoints
-/// met their objective in 53 of 320 cases, with three quarters in 121; others lost less than that. The rest is
-/// left for fast calls, which otherwise wait until a slow one has ended.
+/// Share of the nodes that slow calls may use, as a fraction. With one half, wide gangs on 350
+/// endpoints met their objective in 53 of 320 cases, with three quarters in 121, and other work
+/// lost less than that. The other nodes are left for fast calls, which would otherwise wait until a
+/// slow call ends.
 const SLOW_CALL_NODE_SHARE: (usize, usize) = (7, 8);
 
-/// A call on its way.
+/// A call in flight.
 #[derive(Debug)]
 pub(crate) struct AdviceCall {
     node: NodeId,
     step: StepKey,
-    /// The endpoints that it names. A ticket is for the incarnation that was asked about.
+    /// The endpoints named in the call. A ticket is for the incarnation that the call was about.
     endpoints: BTreeMap<EndpointId, EndpointKey>,
     valid_ms: Millis,
     sent_ms: Millis,
@@ -56,26 +57,28 @@
     fn node_for_call(&self, slow: bool) -> Option<NodeId> {
         let calls = self.advice_calls.values();
         if slow {
-            let running = calls.clone().filter(|call| call.slow).count();
-            let most = (self.nodes.len() * SLOW_CALL_NODE_SHARE.0 / SLOW_CALL_NODE_SHARE.1).max(1);
-            if running >= most {
+            let slow_calls = calls.clone().filter(|call| call.slow).count();
+            let max_slow_calls =
+                (self.nodes.len() * SLOW_CALL_NODE_SHARE.0 / SLOW_CALL_NODE_SHARE.1).max(1);
+            if slow_calls >= max_slow_calls {
                 return None;
             }
         }
         let busy: Vec<NodeId> = calls.map(|call| call.node).collect();
-        // The planner's own node comes last, it has enough to do.
+        // The planner's own node is used last, because it also runs the planner.
         let idle = self.nodes.iter().filter(|node| !busy.contains(node));
         idle.copied().max_by_key(|node| *node != 0)
     }
 
-    /// Asks about endpoints for a step, if a node is free.
+    /// Requests advice on endpoints for a step. Returns false if no node can make the call, or
+    /// nothing is to be asked.
     pub(super) fn request_advice(
         &mut self,
         step: StepKey,
-        terms: AdviceTimings,
+        timings: AdviceTimings,
         keys: &[EndpointKey],
     ) -> bool {
-        let slow = terms.is_slow();
+        let slow = timings.is_slow();
         let Some(node) = self.node_for_call(slow) else {
             return false;
         };
@@ -98,14 +101,14 @@
         });
         let named: Vec<(EndpointId, EndpointKey)> = named.collect();
         let endpoints: Vec<EndpointId> = named.iter().map(|(id, _)| id.clone()).collect();
-        let timeout_ms = terms.call_ms(endpoints.len()) + self.limits.advice_slack_ms;
+        let timeout_ms = timings.call_ms(endpoints.len()) + self.limits.advice_slack_ms;
         self.advice_calls.insert(
             number,
             AdviceCall {
                 node,
                 step,
                 endpoints: named.into_iter().collect(),
-                valid_ms: terms.valid_ms,
+                valid_ms: timings.valid_ms,
                 sent_ms: self.now,
                 deadline_ms: self.now + timeout_ms + self.limits.advice_slack_ms,
                 slow,
@@ -141,12 +144,12 @@
         let Some(job) = self.jobs.get_mut(&call.step.job) else {
             return;
         };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let Some(progress) = job.step_progress_mut(call.step) else {
             return;
         };
         progress.advice.end_call(number);
-        if over || progress.complete() {
+        if job_ended || progress.complete() {
             return;
         }
         let AdviceAnswer::Granted(granted) = answer else {
@@ -158,8 +161,8 @@
             asked = call.endpoints.len(), granted = granted.len();
             "advice received"
         );
-        // A ticket counts from some moment after the call was sent; the latest safe reading is that
-        // moment's earliest: when the service can have begun to answer, shortly before now.
+        // A ticket is valid from an unknown moment after the call was sent. Assumes the earliest at
+        // which the service can have begun to answer, shortly before now.
         let valid_until_ms =
             self.now + call.valid_ms - self.limits.ticket_margin_ms.min(call.valid_ms);
         for key in call.endpoints.values() {
--- a/crates/chervilfall_planner/src/planner/crashes.rs
+++ b/crates/chervilfall_planner/src/planner/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that may have brought down their endpoints: what is noted, and what follows.
+//! Tracking of tasks that may have crashed their endpoints.
 
 use std::collections::BTreeSet;
 
@@ -14,17 +14,18 @@
 use crate::starts::StartNote;
 use crate::tasks::{Task, TaskState};
 
-/// How long an address is kept in mind at which an endpoint has crashed: some rounds of a machine that goes down and
-/// up by turns. Suspects are started elsewhere if they can, so that a bad machine speaks against no task.
+/// Time for which an address is remembered after an endpoint crashed there: several cycles of a
+/// machine that crashes and restarts repeatedly. Suspects are started elsewhere if possible, so
+/// that a faulty machine does not count against a task.
 const CRASHED_ADDRESS_RETENTION_MS: Millis = 60_000;
 
 impl Planner {
-    /// Notes what a lost endpoint says of the runs that were there.
+    /// Records exposures for the runs that were on a lost endpoint.
     pub(super) fn record_lost_runs(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
-        // An endpoint that was asked to leave ends what is still there.
+        // A draining endpoint ends its remaining runs itself.
         if endpoint.draining {
             return;
         }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Notes a run of a task that is not over yet; an earlier note of the run is replaced.
+    /// Records an exposure of an unfinished task, replacing an earlier one of the same run.
     fn record_exposure(&mut self, task: TaskKey, exposure: Exposure) {
         let id = exposure.endpoint.clone();
         let Some(entry) = self.unfinished_task(task) else {
@@ -53,16 +54,16 @@
         self.unsaved.progress.insert(task.job);
     }
 
-    /// Takes the latest starts of earlier holders for lost until their endpoints answer. That is not stored before an
-    /// endpoint turns out to be gone: nearly all answer at once.
+    /// Treats the latest starts of earlier holders as lost until their endpoints answer. The
+    /// exposures are not stored until an endpoint turns out to be gone: nearly all answer at once.
     pub(super) fn expose_latest_starts(&mut self, starts: Vec<StartNote>) {
         for note in starts {
             self.expose_earlier_start(&note);
         }
     }
 
-    /// Takes in what an earlier holder has started without being able to store it. It was cut off then, so that what it
-    /// started may be gone together with its endpoint.
+    /// Records the starts that an earlier holder made but could not store. The holder was cut off,
+    /// so the started runs may be lost together with their endpoints.
     pub(super) fn record_unstored_starts(&mut self, starts: Vec<StartNote>) {
         for note in starts {
             let key = self.endpoint_keys.get(&note.endpoint);
@@ -72,18 +73,19 @@
                 there && !seen.is_other_incarnation(note.born_ms)
             });
             if !answers && self.expose_earlier_start(&note) {
-                log::info!(task:% = note.task(), run = note.run, endpoint:% = note.endpoint; "earlier holder tells of a start");
+                log::info!(task:% = note.task(), run = note.run, endpoint:% = note.endpoint; "earlier holder reported a start");
                 self.unsaved.progress.insert(note.task().job);
             }
         }
         self.settle_unknown_endpoints();
     }
 
-    /// Notes a run that an earlier holder has started; returns false if it is known or does not matter any more.
+    /// Records an exposure to a run that an earlier holder started. Returns false if the run is
+    /// known or no longer matters.
     fn expose_earlier_start(&mut self, note: &StartNote) -> bool {
         let (task, run) = (note.task(), note.run);
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            // Its row tells of steps only of which something is known.
+            // The job's row contains only steps of which something is known.
             job.occurrence(task.occurrence);
         }
         let Some(entry) = self.unfinished_task(task) else {
@@ -98,7 +100,7 @@
             born_ms: note.born_ms,
             fate: ExposureState::Lost,
             new: true,
-            // What else was there is not known.
+            // Whether runs of other jobs were there is not known.
             alone: false,
             answered: false,
         });
@@ -107,30 +109,30 @@
         true
     }
 
-    /// Notes, ahead of its start, that a run of a suspect may be at work.
+    /// Records, before the start is sent, that a run of a suspect may be running.
     pub(super) fn record_planned_start(&mut self, task: TaskKey, run: Run, endpoint: &EndpointId) {
         let key = self.endpoint_keys.get(endpoint);
-        let there = key.and_then(|key| self.endpoints.get(*key));
-        let at_work = Exposure {
+        let endpoint_record = key.and_then(|key| self.endpoints.get(*key));
+        let exposure = Exposure {
             run,
             endpoint: endpoint.clone(),
-            born_ms: there.and_then(|there| there.born_ms),
+            born_ms: endpoint_record.and_then(|endpoint_record| endpoint_record.born_ms),
             fate: ExposureState::AtWork,
             new: true,
             alone: self.runs_exclusively(task.job, endpoint),
             answered: false,
         };
-        self.record_exposure(task, at_work);
+        self.record_exposure(task, exposure);
     }
 
-    /// Returns whether nothing of other jobs has a place on an endpoint.
+    /// Returns whether no runs of other jobs are placed on an endpoint.
     fn runs_exclusively(&self, job: JobId, endpoint: &EndpointId) -> bool {
         let key = self.endpoint_keys.get(endpoint);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
         endpoint.is_some_and(|endpoint| endpoint.placed.keys().all(|there| there.job == job))
     }
 
-    /// Returns a task, unless it is done or its job is over.
+    /// Returns a task, unless it is done or its job has ended.
     fn unfinished_task(&mut self, task: TaskKey) -> Option<&mut Task> {
         let job = self.jobs.get_mut(&task.job)?;
         if job.outcome.is_some() {
@@ -141,14 +143,14 @@
         (entry.state != TaskState::Done).then_some(entry)
     }
 
-    /// Returns what is known of a task.
+    /// Returns the verdict on a task.
     pub(super) fn verdict(&self, task: TaskKey) -> Verdict {
         let job = self.jobs.get(&task.job);
         let entry = job.and_then(|job| job.task(task));
         entry.map_or(Verdict::Clear, |entry| verdict(&entry.exposures))
     }
 
-    /// Keeps in mind the exposures of a job that was read from rows: what was at work may be lost.
+    /// Tracks the exposures of a job that was read from rows. Runs stored as running may be lost.
     pub(super) fn restore_exposures(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -164,8 +166,8 @@
         }
     }
 
-    /// Stores what the latest starts say of an endpoint that does not answer either: the next holder may come too late
-    /// to read them.
+    /// Marks the exposures to an endpoint that does not answer to be stored: the next holder may
+    /// take over too late to read them from the rows of the latest starts.
     pub(super) fn store_exposures(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Takes back what was held against tasks because of an endpoint that answers: that incarnation has not crashed, and
-    /// those before it under its name have.
+    /// Updates the exposures to an endpoint that answers: its current incarnation has not crashed,
+    /// and the earlier ones under its name have.
     pub(super) fn settle_live_endpoint(&mut self, key: EndpointKey, report: &HoldReport) {
         if self.exposed.is_empty() {
             return;
@@ -213,7 +215,7 @@
             });
             let exposed = entry.exposures.iter().any(|seen| seen.endpoint == id);
             if entry.exposures.len() < before {
-                log::info!(task:% = task, endpoint:% = id; "endpoint has not crashed, task is not held to account");
+                log::info!(task:% = task, endpoint:% = id; "endpoint has not crashed, exposure removed");
                 self.unsaved.progress.insert(task.job);
             }
             if !exposed {
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Notes that an incarnation is gone: it has crashed, unless it was asked to leave.
+    /// Records that an incarnation is gone: it has crashed, unless it was draining.
     pub(super) fn record_gone_endpoint(
         &mut self,
         id: &EndpointId,
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Settles exposures to incarnations that are neither listed nor known any more.
+    /// Settles exposures to endpoints that are no longer known, and forgets old crash addresses.
     pub(super) fn settle_unknown_endpoints(&mut self) {
         let unknown = self.exposed.keys();
         let unknown = unknown.filter(|id| !self.endpoint_keys.contains_key(*id));
@@ -299,21 +301,22 @@
 
     fn apply_verdict(&mut self, task: TaskKey, endpoint: &EndpointId) {
         let found = self.verdict(task);
-        log::info!(task:% = task, endpoint:% = endpoint, verdict:? = found; "endpoint crashed with a task");
+        log::info!(task:% = task, endpoint:% = endpoint, verdict:? = found; "endpoint crashed while it ran a task");
         if found == Verdict::Culprit {
-            log::warn!(task:% = task; "task brings its endpoints down, given up");
+            log::warn!(task:% = task; "task crashes its endpoints, giving up its job");
             metrics::given_up("crashes");
             self.fail_job(task.job);
         }
     }
 
-    /// Takes off the note of a run that is over while its endpoint answers.
+    /// Removes the exposure of a run that ended while its endpoint was in contact.
     pub(super) fn clear_survived_exposure(&mut self, task: TaskKey, run: Run) {
         let Some(entry) = self.unfinished_task(task) else {
             return;
         };
-        let at_work = |seen: &Exposure| seen.run == run && seen.fate == ExposureState::AtWork;
-        let position = entry.exposures.iter().position(at_work);
+        let is_of_live_run =
+            |seen: &Exposure| seen.run == run && seen.fate == ExposureState::AtWork;
+        let position = entry.exposures.iter().position(is_of_live_run);
         if let Some(position) = position {
             let seen = entry.exposures.remove(position);
             self.remove_exposed_task(&seen.endpoint, task);
@@ -321,7 +324,8 @@
         }
     }
 
-    /// Notes of a run that its endpoint lists whether it is new there.
+    /// Updates the exposures of a task whose run its endpoint lists: the run is no longer new after
+    /// enough contact, and a long-running task is cleared after more.
     pub(super) fn update_exposure_age(&mut self, key: EndpointKey, task: TaskKey) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
@@ -329,9 +333,9 @@
         let Some(placed) = endpoint.placed.get(&task) else {
             return;
         };
-        let heard_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0);
+        let contact_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0);
         let run = placed.run;
-        if heard_ms < NEW_RUN_MS {
+        if contact_ms < NEW_RUN_MS {
             return;
         }
         let long_running = self.jobs.get(&task.job).is_some_and(|job| job.long_running);
@@ -341,7 +345,7 @@
         if entry.exposures.is_empty() {
             return;
         }
-        if long_running && heard_ms >= CLEARED_AFTER_MS {
+        if long_running && contact_ms >= CLEARED_AFTER_MS {
             entry.exposures.clear();
             self.unsaved.progress.insert(task.job);
             return;
@@ -354,13 +358,13 @@
         }
     }
 
-    /// Returns whether an endpoint has crashed at this address of late.
+    /// Returns whether an endpoint has recently crashed at this address.
     pub(super) fn recently_crashed_at(&self, address: &str) -> bool {
         self.crashed_addresses.contains_key(address)
     }
 }
 
-/// Returns the runs that were ordered on an endpoint, with what its loss says of each.
+/// Returns the runs that were ordered on a lost endpoint, each with its exposure.
 fn lost_runs(endpoint: &Endpoint) -> Vec<(TaskKey, Exposure)> {
     let ordered = endpoint.placed.iter();
     let ordered =
--- a/crates/chervilfall_planner/src/planner/ends.rs
+++ b/crates/chervilfall_planner/src/planner/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs.
+//! Handling of ended runs.
 
 use crate::action::JobState;
 use crate::advice::Advice;
@@ -11,13 +11,13 @@
 use crate::tasks::{StepKey, StepProgress, TaskState};
 
 impl Planner {
-    /// Takes in an end that an endpoint lists for the first time.
+    /// Records an end that an endpoint lists for the first time.
     pub(super) fn record_end(&mut self, key: EndpointKey, end: &EndedRun) {
         let task = end.task;
         metrics::ended(end.how);
         self.update_quarantine(key, end);
-        let there = self.endpoints[key].placed.get(&task);
-        if let Some(placed) = there.filter(|placed| placed.run == end.run) {
+        let placed_there = self.endpoints[key].placed.get(&task);
+        if let Some(placed) = placed_there.filter(|placed| placed.run == end.run) {
             let since_ms = placed.confirmed_ms.filter(|_| !placed.resumed);
             if let (EndReason::Done, Some(since_ms)) = (end.how, since_ms) {
                 self.record_duration(key, task, since_ms);
@@ -43,20 +43,20 @@
         self.requeue(task, key, end.run);
     }
 
-    /// Notes how long a run took that began at the beginning.
+    /// Records the duration of a run that did not resume from a checkpoint.
     fn record_duration(&mut self, endpoint: EndpointKey, task: TaskKey, since_ms: Millis) {
         let ms = self.now.saturating_sub(since_ms);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         // The members of a gang end together, at the speed of the slowest.
-        let alone = job
+        let independent = job
             .spec
             .steps
             .get(task.step as usize)
             .is_some_and(|step| !step.gang);
         let progress = job.step_progress_mut(task.step_key());
-        if let Some(progress) = progress.filter(|_| alone) {
+        if let Some(progress) = progress.filter(|_| independent) {
             progress.durations.push(DurationSample { endpoint, ms });
         }
     }
@@ -67,20 +67,20 @@
             EndReason::Done => endpoint.quarantine.done(),
             EndReason::Failed => {
                 if let Some(pause_ms) = endpoint.quarantine.failed(self.now, end.task.job) {
-                    log::warn!(endpoint:% = endpoint.entry.id, pause_ms = pause_ms; "endpoint fails what it runs, left alone");
+                    log::warn!(endpoint:% = endpoint.entry.id, pause_ms = pause_ms; "endpoint fails its runs, quarantined");
                 }
             }
             EndReason::Stopped | EndReason::Lapsed | EndReason::Broken | EndReason::Alone => {}
         }
     }
 
-    /// Gives a task whose run is gone back to the queue, if that run was its last.
+    /// Requeues a task whose run is gone, if that is the task's current run.
     pub(super) fn requeue(&mut self, task: TaskKey, endpoint: EndpointKey, run: Run) {
         let key = task.step_key();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let over = job.outcome.is_some();
+        let job_ended = job.outcome.is_some();
         let gang = job
             .spec
             .steps
@@ -97,7 +97,7 @@
         }
         entry.state = TaskState::Waiting;
         progress.placed -= 1;
-        if over {
+        if job_ended {
             return;
         }
         self.clear_survived_exposure(task, run);
@@ -116,7 +116,7 @@
         self.open_step(key);
     }
 
-    /// Withdraws what is left of a gang's run, so that it can start anew as a whole.
+    /// Stops the remaining members of a gang, so that it can be restarted as a whole.
     pub(super) fn abort_gang(&mut self, key: StepKey) {
         let Some(progress) = self
             .jobs
@@ -130,13 +130,13 @@
         }
         progress.aborting = true;
         let members = placed_members(progress, key);
-        log::info!(step:% = key, members = members.len(); "gang broken, members are stopped");
+        log::info!(step:% = key, members = members.len(); "gang aborted, stopping its members");
         for (endpoint, task, run) in members {
             self.begin_stop(endpoint, task, run);
         }
     }
 
-    /// Marks a task as done; one member of a gang stands for all.
+    /// Marks a task as done. In a gang, one member marks all as done.
     fn complete_task(&mut self, task: TaskKey) {
         let key = task.step_key();
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -172,7 +172,7 @@
         let nothing_waits = progress.waiting() == 0;
         self.unsaved.progress.insert(task.job);
         if !gang {
-            // A run elsewhere, started after this one was taken for lost, has nothing left to do.
+            // A run elsewhere that was started after this one was considered lost is not needed.
             for (endpoint, task, run) in superseded {
                 self.begin_stop(endpoint, task, run);
             }
@@ -216,7 +216,7 @@
         let Some(step) = job.spec.steps.get(task.step as usize) else {
             return;
         };
-        let (gang, lasts) = (step.gang, step.long_running);
+        let (gang, long_running) = (step.gang, step.long_running);
         let index = if gang { 0 } else { task.index };
         let Some(progress) = job.step_progress_mut(key) else {
             return;
@@ -227,7 +227,7 @@
         let Some(entry) = progress.tasks.get_mut(index as usize) else {
             return;
         };
-        if lasts || entry.state == TaskState::Done || entry.failed.contains(&run) {
+        if long_running || entry.state == TaskState::Done || entry.failed.contains(&run) {
             return;
         }
         entry.failed.push(run);
