--- a/crates/chervilfall_node/src/configuration.rs
+++ b/crates/chervilfall_node/src/configuration.rs
@@ -10,9 +10,9 @@
 use crate::routes::RouteTable;
 
 /// Stands for a time that is not known.
-const NEVER: u64 = u64::MAX;
+const UNKNOWN: u64 = u64::MAX;
 /// Time between looks at whether the configuration was confirmed meanwhile.
-const LOOK: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The configuration in force; shared by the node's tasks.
 #[derive(Debug)]
@@ -23,9 +23,9 @@
     /// When the last reading began that showed nothing newer, in milliseconds.
     confirmed_ms: AtomicU64,
     /// When the last reading began that the store answered, whatever it showed, in milliseconds.
-    heard_ms: AtomicU64,
+    answered_ms: AtomicU64,
     /// Asks the reader for a reading.
-    wanted: Notify,
+    reading_requested: Notify,
     /// Time in which a configuration must be in force.
     apply_ms: u64,
 }
@@ -34,10 +34,10 @@
     pub(crate) fn new(apply_ms: u64) -> Self {
         Self {
             table: RwLock::default(),
-            version: AtomicU64::new(NEVER),
-            confirmed_ms: AtomicU64::new(NEVER),
-            heard_ms: AtomicU64::new(NEVER),
-            wanted: Notify::new(),
+            version: AtomicU64::new(UNKNOWN),
+            confirmed_ms: AtomicU64::new(UNKNOWN),
+            answered_ms: AtomicU64::new(UNKNOWN),
+            reading_requested: Notify::new(),
             apply_ms,
         }
     }
@@ -52,7 +52,7 @@
     /// Returns the version in force, if one is known.
     pub(crate) fn version(&self) -> Option<u64> {
         let version = self.version.load(Ordering::Acquire);
-        (version != NEVER).then_some(version)
+        (version != UNKNOWN).then_some(version)
     }
 
     /// Returns how long ago the configuration was known to be the newest, if it ever was.
@@ -64,8 +64,8 @@
     /// Returns whether a configuration is known, and the store was heard of it lately enough that one that can be read
     /// would be in force.
     #[must_use]
-    pub fn is_followed(&self) -> bool {
-        let heard = age_ms(&self.heard_ms).is_some_and(|age_ms| age_ms <= self.apply_ms);
+    pub fn has_recent_answer(&self) -> bool {
+        let heard = age_ms(&self.answered_ms).is_some_and(|age_ms| age_ms <= self.apply_ms);
         self.current().is_some() && (heard || self.is_current())
     }
 
@@ -76,57 +76,62 @@
     }
 
     /// Waits until the configuration is confirmed, if it was not for too long; returns whether it is.
-    pub(crate) async fn until_current(&self, patience: Duration) -> bool {
-        self.until(Self::is_current, patience).await
+    pub(crate) async fn wait_until_current(&self, wait_budget: Duration) -> bool {
+        self.wait_until(Self::is_current, wait_budget).await
     }
 
     /// Waits until the store has answered a reading that began after a time; returns whether it has.
-    pub(crate) async fn until_heard_since(&self, since_ms: u64, patience: Duration) -> bool {
-        let heard = |state: &Self| match state.heard_ms.load(Ordering::Relaxed) {
-            NEVER => false,
-            heard_ms => heard_ms >= since_ms,
+    pub(crate) async fn wait_for_answer_since(&self, since_ms: u64, wait_budget: Duration) -> bool {
+        let heard = |state: &Self| match state.answered_ms.load(Ordering::Relaxed) {
+            UNKNOWN => false,
+            answered_ms => answered_ms >= since_ms,
         };
-        self.until(heard, patience).await
+        self.wait_until(heard, wait_budget).await
     }
 
     /// Waits for what a reading brings about; returns whether it holds.
-    async fn until(&self, holds: impl Fn(&Self) -> bool, patience: Duration) -> bool {
+    async fn wait_until(&self, holds: impl Fn(&Self) -> bool, wait_budget: Duration) -> bool {
         if holds(self) {
             return true;
         }
-        self.want();
-        let deadline = clock().deadline(patience);
+        self.request_reading();
+        let deadline = clock().deadline(wait_budget);
         while !holds(self) && !clock().left(deadline).is_zero() {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
         holds(self)
     }
 
     /// Takes note of a version that another node has in force.
-    pub(crate) fn heard_of(&self, version: Option<u64>) {
+    pub(crate) fn note_remote_version(&self, version: Option<u64>) {
         if version > self.version() {
-            self.want();
+            self.request_reading();
         }
     }
 
     /// Takes in what the holder has in force, known to be the newest `age_ms` before it answered, which was after it was
     /// asked at `asked_ms`.
-    pub(crate) fn told(&self, asked_ms: u64, age_ms: u64, table: Option<Arc<RouteTable>>) {
+    pub(crate) fn apply_from_holder(
+        &self,
+        asked_ms: u64,
+        age_ms: u64,
+        table: Option<Arc<RouteTable>>,
+    ) {
         let at_ms = asked_ms.saturating_sub(age_ms);
         match table {
-            Some(table) => self.put(table, at_ms),
+            Some(table) => self.put_in_force(table, at_ms),
             None => self.confirm(at_ms),
         }
     }
 
     /// Asks for a reading now.
-    pub(crate) fn want(&self) {
-        self.wanted.notify_one();
+    pub(crate) fn request_reading(&self) {
+        self.reading_requested.notify_one();
     }
 
     /// Waits until a reading is asked for.
-    pub(crate) async fn wanted(&self) {
-        self.wanted.notified().await;
+    pub(crate) async fn reading_requested(&self) {
+        self.reading_requested.notified().await;
     }
 
     /// Notes that the configuration in force was the newest at a time.
@@ -135,12 +140,12 @@
     }
 
     /// Notes that the store has answered a reading that began at a time.
-    pub(crate) fn hear(&self, at_ms: u64) {
-        advance(&self.heard_ms, at_ms);
+    pub(crate) fn record_answer(&self, at_ms: u64) {
+        advance(&self.answered_ms, at_ms);
     }
 
     /// Puts a configuration in force that the store had as the newest at a time, unless it or a newer one is.
-    pub(crate) fn put(&self, table: Arc<RouteTable>, at_ms: u64) {
+    pub(crate) fn put_in_force(&self, table: Arc<RouteTable>, at_ms: u64) {
         let unconfirmed_ms = self.age_ms();
         let (version, routes) = (table.version, table.routes.len());
         let replaced = self.replace(table);
@@ -181,12 +186,12 @@
 /// Returns how long ago a time was, if it is known.
 fn age_ms(at_ms: &AtomicU64) -> Option<u64> {
     let at_ms = at_ms.load(Ordering::Relaxed);
-    (at_ms != NEVER).then(|| now_ms().saturating_sub(at_ms))
+    (at_ms != UNKNOWN).then(|| now_ms().saturating_sub(at_ms))
 }
 
 /// Sets a time, unless a later one is set.
 fn advance(time_ms: &AtomicU64, at_ms: u64) {
-    let later = |known_ms: u64| (known_ms == NEVER || known_ms < at_ms).then_some(at_ms);
+    let later = |known_ms: u64| (known_ms == UNKNOWN || known_ms < at_ms).then_some(at_ms);
     // It fails if a later time is set, which is what is wanted.
     let _ = time_ms.fetch_update(Ordering::Relaxed, Ordering::Relaxed, later);
 }
--- a/crates/chervilfall_node/src/control.rs
+++ b/crates/chervilfall_node/src/control.rs
@@ -10,7 +10,7 @@
 use chervilfall_kernel::{ControlLoop, Work};
 use chervilfall_planner::{
     AdviceAnswer, Answer, EndpointEntry, Event, Limits, NodeId, Planner, ReplyTo, Request,
-    StartNote, StepDownReason, Stored, Takeover,
+    StartNote, StepDownReason, StoredGroup, Takeover,
 };
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, oneshot};
@@ -18,28 +18,28 @@
 use crate::clock::{now_ms, unix_ms};
 use crate::configuration::ConfigurationState;
 use crate::front::Front;
-use crate::leadership::{Ask, Leadership, LeadershipState};
+use crate::leadership::{Leadership, LeadershipState, PendingRequest};
 use crate::link::{FollowerLink, ToFollower};
 use crate::load::ControlLoad;
 use crate::ports::Platform;
 
 /// Number of this node among those that can call for advice.
-const SELF: NodeId = 0;
+const LOCAL_NODE: NodeId = 0;
 
 /// Most routes of a configuration that is told over a link: more would keep heartbeats from a thin link for so long that
 /// it counts as broken.
-const MOST_ROUTES_TOLD: usize = 500;
+const MAX_ROUTES_SENT: usize = 500;
 
 /// A node makes way for one with so many times its processor.
-const MAKE_WAY_FACTOR: u64 = 2;
+const HANDOVER_CPU_FACTOR: u64 = 2;
 /// How long that one must have been linked: a node that comes and goes would hold the group for a moment only.
-const MAKE_WAY_MS: u64 = 1_000;
+const HANDOVER_LINK_AGE_MS: u64 = 1_000;
 
 /// What the control thread is told.
 #[derive(Debug)]
 pub(crate) enum ControlEvent {
     /// A request of this node's callers.
-    Ask(Ask),
+    LocalRequest(PendingRequest),
     /// A follower has linked.
     LinkUp {
         id: NodeId,
@@ -55,7 +55,7 @@
         request: Request,
     },
     /// A follower asks for the configuration in force.
-    ConfigurationWanted {
+    ConfigurationRequest {
         id: NodeId,
         known: Option<u64>,
         asked_ms: u64,
@@ -65,11 +65,11 @@
     /// A call for advice was answered.
     Advised { number: u64, answer: AdviceAnswer },
     /// What the planner of a term wanted done was answered.
-    Done { term: u64, event: Event },
+    ActionCompleted { term: u64, event: Event },
     /// This node has claimed the group.
     Claimed {
         takeover: Takeover,
-        stored: Stored,
+        stored: StoredGroup,
         claimed_ms: u64,
     },
     /// This node reads the rows of a group that it has claimed, or does not any more.
@@ -102,12 +102,12 @@
     unstored: Vec<StartNote>,
     configuration: Arc<ConfigurationState>,
     /// Version that the planner knows.
-    configured: Option<u64>,
+    planner_configuration_version: Option<u64>,
     /// This node reads the rows of a group that it has claimed.
     recovering: bool,
     links: BTreeMap<NodeId, FollowerLink>,
     waiting: HashMap<u64, oneshot::Sender<Answer>>,
-    next_ask: u64,
+    next_request: u64,
     heartbeat_due_ms: u64,
     load: ControlLoad,
 }
@@ -139,11 +139,11 @@
             planner: None,
             unstored: Vec::new(),
             configuration,
-            configured: None,
+            planner_configuration_version: None,
             recovering: false,
             links: BTreeMap::new(),
             waiting: HashMap::new(),
-            next_ask: 0,
+            next_request: 0,
             heartbeat_due_ms: 0,
             load: ControlLoad::new(Instant::now()),
         }
@@ -168,47 +168,50 @@
         self.waiting.clear();
         self.drop_links();
         if matches!(self.leadership.current(), Leadership::Local) {
-            self.leadership.set(Leadership::Nobody);
+            self.leadership.set(Leadership::NoHolder);
             self.front.set_claim_age(u64::MAX);
         }
     }
 
-    fn claimed(&mut self, takeover: Takeover, stored: Stored, claimed_ms: u64) {
+    fn claimed(&mut self, takeover: Takeover, stored: StoredGroup, claimed_ms: u64) {
         let planner = Planner::new(self.limits.clone(), takeover, stored, claimed_ms);
         self.planner = Some(planner);
         self.leadership.set(Leadership::Local);
-        self.configured = None;
-        self.configure();
+        self.planner_configuration_version = None;
+        self.update_planner_configuration();
         self.feed_nodes();
         // Links that were kept while rows were read hear of it at once.
         self.heartbeat_due_ms = 0;
-        self.beat();
+        self.send_heartbeats();
     }
 
     /// Tells the planner of a configuration that has come into force. It is looked up before each event, so that nothing
     /// is decided by an older one, however many events wait.
-    fn configure(&mut self) {
-        if self.planner.is_none() || self.configuration.version() == self.configured {
+    fn update_planner_configuration(&mut self) {
+        if self.planner.is_none()
+            || self.configuration.version() == self.planner_configuration_version
+        {
             return;
         }
         let Some(table) = self.configuration.current() else {
             return;
         };
-        self.configured = Some(table.version);
+        self.planner_configuration_version = Some(table.version);
         metrics::gauge!("chervilfall_configuration_version", "at" => "planner")
             .set(table.version as f64);
         self.feed(Event::Configured(Arc::new(table.configuration())));
     }
 
     /// Has the configuration read if the node that took a request knows a newer one.
-    fn look_for_newer(&self, request: &Request) {
+    fn note_request_version(&self, request: &Request) {
         if let Request::Submit { queue, .. } = request {
-            self.configuration.heard_of(Some(queue.configuration));
+            self.configuration
+                .note_remote_version(Some(queue.configuration));
         }
     }
 
     /// Tells a follower, which may not reach the store, what is in force here.
-    fn tell_configuration(&self, id: NodeId, known: Option<u64>, asked_ms: u64) {
+    fn send_configuration(&self, id: NodeId, known: Option<u64>, asked_ms: u64) {
         let current = (self.configuration.age_ms(), self.configuration.current());
         let (Some(link), (Some(age_ms), Some(table))) = (self.links.get(&id), current) else {
             return;
@@ -216,7 +219,7 @@
         let table = (Some(table.version) > known).then_some(table);
         if table
             .as_ref()
-            .is_some_and(|table| table.routes.len() > MOST_ROUTES_TOLD)
+            .is_some_and(|table| table.routes.len() > MAX_ROUTES_SENT)
         {
             return;
         }
@@ -229,7 +232,7 @@
     }
 
     fn feed_nodes(&mut self) {
-        let nodes = std::iter::once(SELF).chain(self.links.keys().copied());
+        let nodes = std::iter::once(LOCAL_NODE).chain(self.links.keys().copied());
         self.feed(Event::Nodes(nodes.collect()));
     }
 
@@ -275,18 +278,18 @@
     }
 
     /// Hands the group to a machine with far more processor that is back: this one could hardly serve all callers.
-    fn make_way(&mut self) {
+    fn hand_over_to_larger_node(&mut self) {
         let Some(planner) = &mut self.planner else {
             return;
         };
-        let linked_by_ms = now_ms().saturating_sub(MAKE_WAY_MS);
+        let linked_by_ms = now_ms().saturating_sub(HANDOVER_LINK_AGE_MS);
         let steady = self
             .links
             .values()
             .filter(|link| link.since_ms <= linked_by_ms);
         let largest = steady.map(|link| link.cpu_permille).max().unwrap_or(0);
-        planner.set_wanted_permille(largest);
-        if largest >= MAKE_WAY_FACTOR * self.cpu_permille && !planner.is_releasing() {
+        planner.set_required_permille(largest);
+        if largest >= HANDOVER_CPU_FACTOR * self.cpu_permille && !planner.is_releasing() {
             log::info!(term = planner.term(), wanted_permille = largest; "group is handed to a larger node");
             planner.release();
         }
@@ -298,34 +301,37 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) {
+    fn accept_request(&mut self, pending: PendingRequest) {
         if self.planner.is_none() {
             // Dropping the sender tells the front to look for the holder again.
             return;
         }
-        self.next_ask += 1;
-        let number = self.next_ask;
-        self.waiting.insert(number, ask.answer);
+        self.next_request += 1;
+        let number = self.next_request;
+        self.waiting.insert(number, pending.answer);
         self.feed(Event::Request {
-            to: ReplyTo { node: SELF, number },
-            request: ask.request,
+            to: ReplyTo {
+                node: LOCAL_NODE,
+                number,
+            },
+            request: pending.request,
         });
     }
 
     /// Tells the present holder what this node has started and could not store: if an endpoint was lost with it, nobody
     /// else knows.
-    fn tell_unstored(&mut self) {
+    fn send_unstored_starts(&mut self) {
         if self.unstored.is_empty() {
             return;
         }
         match self.leadership.current() {
-            Leadership::Nobody => {}
+            Leadership::NoHolder => {}
             Leadership::Local => {
                 let starts = std::mem::take(&mut self.unstored);
                 self.feed(Event::UnstoredStarts(starts));
             }
             Leadership::Remote(link) => {
-                if link.tell_unstored(&self.unstored) {
+                if link.send_unstored_starts(&self.unstored) {
                     log::info!(starts = self.unstored.len(); "starts that were not stored handed over");
                     self.unstored.clear();
                 }
@@ -333,7 +339,7 @@
         }
     }
 
-    fn beat(&mut self) {
+    fn send_heartbeats(&mut self) {
         let now = now_ms();
         let Some(heartbeat) = self.heartbeat() else {
             return;
@@ -345,7 +351,7 @@
             return;
         }
         self.heartbeat_due_ms = now + self.heartbeat_ms;
-        self.make_way();
+        self.hand_over_to_larger_node();
         // A full queue shows in the status without a probe.
         drop(self.sender.try_send(ControlEvent::Probe(Instant::now())));
         self.waiting.retain(|_, waiter| !waiter.is_closed());
@@ -360,11 +366,11 @@
     type Event = ControlEvent;
 
     fn handle(&mut self, event: ControlEvent) {
-        self.configure();
+        self.update_planner_configuration();
         match event {
-            ControlEvent::Ask(ask) => {
-                self.look_for_newer(&ask.request);
-                self.ask(ask);
+            ControlEvent::LocalRequest(pending) => {
+                self.note_request_version(&pending.request);
+                self.accept_request(pending);
             }
             ControlEvent::LinkUp { id, node, link } => self.link_up(id, &node, link),
             ControlEvent::LinkDown { id } => self.link_down(id),
@@ -373,22 +379,22 @@
                 number,
                 request,
             } => {
-                self.look_for_newer(&request);
+                self.note_request_version(&request);
                 self.feed(Event::Request {
                     to: ReplyTo { node: id, number },
                     request,
                 });
             }
-            ControlEvent::ConfigurationWanted {
+            ControlEvent::ConfigurationRequest {
                 id,
                 known,
                 asked_ms,
-            } => self.tell_configuration(id, known, asked_ms),
+            } => self.send_configuration(id, known, asked_ms),
             ControlEvent::UnstoredStarts(starts) => self.feed(Event::UnstoredStarts(starts)),
             ControlEvent::Advised { number, answer } => {
                 self.feed(Event::Advised { number, answer });
             }
-            ControlEvent::Done { term, event } => {
+            ControlEvent::ActionCompleted { term, event } => {
                 if self
                     .planner
                     .as_ref()
@@ -411,15 +417,15 @@
                     planner.release();
                 }
             }
-            ControlEvent::Probe(sent) => self.load.probed(sent.elapsed()),
+            ControlEvent::Probe(sent) => self.load.record_queue_age(sent.elapsed()),
         }
     }
 
     fn tick(&mut self) {
-        self.configure();
+        self.update_planner_configuration();
         self.feed(Event::Tick { unix_ms: unix_ms() });
-        self.tell_unstored();
-        self.beat();
+        self.send_unstored_starts();
+        self.send_heartbeats();
     }
 
     fn worked(&mut self, work: Work) {
@@ -431,8 +437,8 @@
             let backlog = planner.backlog();
             log::info!(
                 term = planner.term(), busy_percent = status.busy_percent, events = status.events,
-                most_waiting = status.most_waiting, oldest_ms = status.oldest_ms,
-                longest_ms = status.longest_ms, open_steps = backlog.open_steps,
+                most_waiting = status.most_waiting, oldest_ms = status.max_queue_age_ms,
+                longest_ms = status.max_stretch_ms, open_steps = backlog.open_steps,
                 unsaved_jobs = backlog.unsaved_jobs, advice_calls = backlog.advice_calls,
                 links = self.links.len();
                 "control thread"
--- a/crates/chervilfall_node/src/control/actions.rs
+++ b/crates/chervilfall_node/src/control/actions.rs
@@ -4,11 +4,11 @@
 use std::sync::Arc;
 
 use chervilfall_planner::{
-    decode_text, Action, AdviceAnswer, AdviceOrder, Answer, Batch, Event, JobId, Look, NodeId,
-    ProgressRow, ReplyTo, ENDED, TEXTS,
+    decode_text, Action, AdviceAnswer, AdviceOrder, Answer, Batch, Event, JobId, LookupResult,
+    NodeId, ProgressRow, ReplyTo, ENDED, TEXTS,
 };
 
-use super::{Control, ControlEvent, SELF};
+use super::{Control, ControlEvent, LOCAL_NODE};
 use crate::clock::now_ms;
 use crate::link::ToFollower;
 use crate::ports::{Advisor, Endpoints, Platform, Store};
@@ -25,7 +25,7 @@
                     order.task,
                     order.run,
                 );
-                self.run(term, async move {
+                self.spawn_order(term, async move {
                     let answer = endpoints.start(order).await;
                     Event::Started {
                         endpoint: key,
@@ -42,7 +42,7 @@
                     order.task,
                     order.run,
                 );
-                self.run(term, async move {
+                self.spawn_order(term, async move {
                     let answer = endpoints.stop(order).await;
                     Event::Stopped {
                         endpoint: key,
@@ -55,7 +55,7 @@
             Action::Hold(order) => {
                 let (endpoints, key) = (self.platform.endpoints().clone(), order.endpoint);
                 let sent_ms = now_ms();
-                self.run(term, async move {
+                self.spawn_order(term, async move {
                     let answer = endpoints.hold(order).await;
                     Event::Held {
                         endpoint: key,
@@ -72,7 +72,7 @@
     }
 
     /// Runs an order on the traffic thread and feeds what came of it to the planner of the term.
-    fn run<F>(&self, term: u64, order: F)
+    fn spawn_order<F>(&self, term: u64, order: F)
     where
         F: Future<Output = Event> + Send + 'static,
     {
@@ -80,14 +80,18 @@
         self.traffic.spawn(async move {
             let event = order.await;
             // The control thread ends with the process only.
-            drop(sender.send(ControlEvent::Done { term, event }).await);
+            drop(
+                sender
+                    .send(ControlEvent::ActionCompleted { term, event })
+                    .await,
+            );
         });
     }
 
     fn commit(&self, term: u64, batch: Batch) {
         let (store, group) = (self.platform.store().clone(), self.group.clone());
         let (number, copy) = (batch.number, batch.copy);
-        self.run(term, async move {
+        self.spawn_order(term, async move {
             let outcome = store.commit(&group, batch).await;
             Event::Committed {
                 number,
@@ -99,18 +103,18 @@
 
     fn look_up(&self, term: u64, id: JobId) {
         let (store, group) = (self.platform.store().clone(), self.group.clone());
-        self.run(term, async move {
+        self.spawn_order(term, async move {
             let read = store.read_row(&group, ENDED, &id.to_string()).await;
             let look = match read.map(|(row, _)| row.map(|row| ProgressRow::decode(&row.value))) {
-                Ok(Some(Ok(row))) => Look::Ended(row),
-                Ok(None) => Look::Absent,
+                Ok(Some(Ok(row))) => LookupResult::Ended(row),
+                Ok(None) => LookupResult::Absent,
                 Ok(Some(Err(error))) => {
                     log::error!(job:% = id, error:% = error; "row of an ended job cannot be read");
-                    Look::Failed
+                    LookupResult::Failed
                 }
                 Err(error) => {
                     log::info!(job:% = id, error:% = error; "ended job not looked up");
-                    Look::Failed
+                    LookupResult::Failed
                 }
             };
             Event::LookedUp { id, look }
@@ -119,7 +123,7 @@
 
     fn read_text(&self, term: u64, id: JobId) {
         let (store, group) = (self.platform.store().clone(), self.group.clone());
-        self.run(term, async move {
+        self.spawn_order(term, async move {
             let read = store.read_row(&group, TEXTS, &id.to_string()).await;
             let text = read.ok().and_then(|(row, _)| row);
             let text = text.and_then(|row| decode_text(&row.value).ok());
@@ -132,7 +136,7 @@
     }
 
     fn advise(&mut self, node: NodeId, order: AdviceOrder) {
-        if node == SELF {
+        if node == LOCAL_NODE {
             let (advisor, sender) = (self.platform.advisor().clone(), self.sender.clone());
             self.traffic.spawn(async move {
                 let number = order.number;
@@ -156,7 +160,7 @@
     }
 
     fn reply(&mut self, to: ReplyTo, answer: Answer) {
-        if to.node == SELF {
+        if to.node == LOCAL_NODE {
             if let Some(waiter) = self.waiting.remove(&to.number) {
                 // A caller that is gone needs no answer.
                 let _ = waiter.send(answer);
--- a/crates/chervilfall_node/src/front.rs
+++ b/crates/chervilfall_node/src/front.rs
@@ -13,19 +13,19 @@
 use crate::configuration::ConfigurationState;
 use crate::control::ControlEvent;
 use crate::keys::KeyDigest;
-use crate::leadership::{Ask, Leadership, LeadershipState};
-use crate::patience::WaitBounds;
+use crate::leadership::{Leadership, LeadershipState, PendingRequest};
 use crate::routes::{Route, RouteTable};
 use crate::settings::Timings;
+use crate::wait_bounds::WaitBounds;
 
 /// When a caller that found no holder should come back.
 const RETRY_MS: u64 = 1_000;
 /// Time between lines about denied requests, which callers can send in any number.
-const DENIED_LINE_MS: u64 = 100;
+const DENIED_LOG_INTERVAL_MS: u64 = 100;
 /// Time between looks at whether the node is isolated.
-const ISOLATION_LOOK: Duration = Duration::from_millis(100);
+const ISOLATION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause before a request is passed on again that a lost holder had: some round trips of a link.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+const RESEND_PAUSE: Duration = Duration::from_millis(20);
 
 /// Answer to a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,11 +65,11 @@
     /// How old the holder's claim was when it was last heard of, in milliseconds; `u64::MAX` while unknown.
     claim_age_ms: AtomicU64,
     /// When that was.
-    claim_heard_ms: AtomicU64,
+    claim_reported_ms: AtomicU64,
     /// Since when neither a holder nor the store can be reached, in milliseconds; `u64::MAX` while one can.
     isolated_since_ms: AtomicU64,
     /// When a denied request was last logged, in milliseconds.
-    denied_line_ms: AtomicU64,
+    denied_logged_ms: AtomicU64,
 }
 
 impl Front {
@@ -88,9 +88,9 @@
             revocation,
             stopping: AtomicBool::new(false),
             claim_age_ms: AtomicU64::new(u64::MAX),
-            claim_heard_ms: AtomicU64::new(0),
+            claim_reported_ms: AtomicU64::new(0),
             isolated_since_ms: AtomicU64::new(u64::MAX),
-            denied_line_ms: AtomicU64::new(0),
+            denied_logged_ms: AtomicU64::new(0),
         }
     }
 
@@ -106,13 +106,13 @@
 
     pub(crate) fn set_claim_age(&self, age_ms: u64) {
         self.claim_age_ms.store(age_ms, Ordering::Relaxed);
-        self.claim_heard_ms.store(now_ms(), Ordering::Relaxed);
+        self.claim_reported_ms.store(now_ms(), Ordering::Relaxed);
     }
 
     /// Returns how old the holder's claim is: what it last said, and the time since.
     pub(crate) fn claim_age_ms(&self) -> u64 {
         let said_ms = self.claim_age_ms.load(Ordering::Relaxed);
-        let since_ms = now_ms().saturating_sub(self.claim_heard_ms.load(Ordering::Relaxed));
+        let since_ms = now_ms().saturating_sub(self.claim_reported_ms.load(Ordering::Relaxed));
         said_ms.saturating_add(since_ms)
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns until when a request may wait on a node that is isolated, if this one is.
-    fn isolated_until(&self) -> Option<Deadline> {
+    fn isolation_deadline(&self) -> Option<Deadline> {
         let since_ms = self.isolated_since_ms.load(Ordering::Relaxed);
         if since_ms == u64::MAX {
             return None;
@@ -150,10 +150,10 @@
     /// fresh can be reached.
     #[must_use]
     pub fn ready(&self) -> bool {
-        if self.stopping() || !self.configuration.is_followed() {
+        if self.stopping() || !self.configuration.has_recent_answer() {
             return false;
         }
-        let linked = !matches!(self.leadership.current(), Leadership::Nobody);
+        let linked = !matches!(self.leadership.current(), Leadership::NoHolder);
         linked && self.claim_age_ms() < self.timings.ready_age_ms
     }
 
@@ -167,8 +167,8 @@
         if let Some(route) = self.find(host, path) {
             return Ok(route);
         }
-        let patience = Duration::from_millis(self.timings.configuration_wait_ms);
-        let current = self.configuration.until_current(patience).await;
+        let wait_budget = Duration::from_millis(self.timings.configuration_wait_ms);
+        let current = self.configuration.wait_until_current(wait_budget).await;
         if let Some(route) = self.find(host, path) {
             return Ok(route);
         }
@@ -177,7 +177,7 @@
             Some(_) if !current => ("unconfirmed", FrontAnswer::Unconfirmed),
             Some(_) => ("no queue", FrontAnswer::NoQueue),
         };
-        self.note_denied(why, host, path);
+        self.record_denied(why, host, path);
         Err(answer)
     }
 
@@ -202,8 +202,8 @@
         if let Some(account) = self.account(digest, revocation) {
             return Ok(Some(account));
         }
-        let patience = Duration::from_millis(self.timings.configuration_wait_ms);
-        let current = self.configuration.until_current(patience).await;
+        let wait_budget = Duration::from_millis(self.timings.configuration_wait_ms);
+        let current = self.configuration.wait_until_current(wait_budget).await;
         if let Some(account) = self.account(digest, revocation) {
             return Ok(Some(account));
         }
@@ -212,7 +212,7 @@
         } else {
             ("key not confirmed", FrontAnswer::Unconfirmed)
         };
-        self.note_denied(why, &route.host, &route.path_prefix);
+        self.record_denied(why, &route.host, &route.path_prefix);
         Err(answer)
     }
 
@@ -232,64 +232,68 @@
     }
 
     /// Notes a request for which there is no queue, with what that was decided by.
-    fn note_denied(&self, why: &'static str, host: &str, path: &str) {
+    fn record_denied(&self, why: &'static str, host: &str, path: &str) {
         metrics::counter!("chervilfall_requests_denied_total", "why" => why).increment(1);
         let now_ms = now_ms();
-        let line_ms = self.denied_line_ms.load(Ordering::Relaxed);
-        if now_ms < line_ms + DENIED_LINE_MS {
+        let line_ms = self.denied_logged_ms.load(Ordering::Relaxed);
+        if now_ms < line_ms + DENIED_LOG_INTERVAL_MS {
             return;
         }
-        self.denied_line_ms.store(now_ms, Ordering::Relaxed);
+        self.denied_logged_ms.store(now_ms, Ordering::Relaxed);
         let version = self.routes().map(|routes| routes.version);
         let age_ms = self.configuration.age_ms();
         log::info!(why = why, host = host, path = path, version = version, age_ms = age_ms; "request denied");
     }
 
-    /// Asks the holder and waits for its answer, at most `patience` if that is given.
-    pub async fn ask(&self, request: Request, patience: Option<Duration>) -> Answer {
+    /// Asks the holder and waits for its answer, at most `wait_budget` if that is given.
+    pub async fn handle_request(&self, request: Request, wait_budget: Option<Duration>) -> Answer {
         let began = clock().elapsed();
         let kind = kind(&request);
         let job = job(&request);
-        let answer = self.ask_in_time(request, patience).await;
+        let answer = self.forward_within_budget(request, wait_budget).await;
         let took = clock().elapsed().saturating_sub(began);
         if let (Some(job), true) = (job, is_failure(answer)) {
-            let patience_ms = patience.map_or(0, millis);
+            let wait_budget_ms = wait_budget.map_or(0, millis);
             log::info!(
-                job:% = job, kind = kind, answer = word(answer), took_ms = millis(took),
-                patience_ms = patience_ms, claim_age_ms = self.claim_age_ms();
+                job:% = job, kind = kind, answer = label(answer), took_ms = millis(took),
+                patience_ms = wait_budget_ms, claim_age_ms = self.claim_age_ms();
                 "request not carried out"
             );
         }
         metrics::histogram!("chervilfall_request_seconds", "kind" => kind)
             .record(took.as_secs_f64());
-        metrics::counter!("chervilfall_requests_total", "kind" => kind, "answer" => word(answer))
+        metrics::counter!("chervilfall_requests_total", "kind" => kind, "answer" => label(answer))
             .increment(1);
         answer
     }
 
-    async fn ask_in_time(&self, mut request: Request, patience: Option<Duration>) -> Answer {
-        let bounds = WaitBounds::new(patience, &self.timings);
+    async fn forward_within_budget(
+        &self,
+        mut request: Request,
+        wait_budget: Option<Duration>,
+    ) -> Answer {
+        let bounds = WaitBounds::new(wait_budget, &self.timings);
         let answer_by = clock().deadline(bounds.answer);
-        let settle_by = clock().deadline(bounds.holder(&request));
+        let refuse_by = clock().deadline(bounds.holder(&request));
         let mut sent = false;
         loop {
             // What was sent to a holder may be stored: only the next holder can tell.
-            let holder_by = if sent { answer_by } else { settle_by };
-            let Some(leadership) = self.holder_until(holder_by, !sent).await else {
+            let holder_by = if sent { answer_by } else { refuse_by };
+            let Some(leadership) = self.wait_for_holder(holder_by, !sent).await else {
                 return not_answered(sent, &request);
             };
             if let Request::Submit { wait_ms, .. } = &mut request {
-                *wait_ms = millis(clock().left(settle_by));
+                *wait_ms = millis(clock().left(refuse_by));
             }
             let (answer, receiver) = oneshot::channel();
-            let ask = Ask {
+            let pending = PendingRequest {
                 request: request.clone(),
                 answer,
             };
-            let passed_on = self.pass_on(&leadership, ask);
+            let forwarded = self.forward(&leadership, pending);
             // A link that is given up must not be kept alive by those that wait for its answers.
             drop(leadership);
-            if passed_on {
+            if forwarded {
                 sent = true;
                 match clock().until(answer_by, receiver).await {
                     Ok(Ok(answer)) => return answer,
@@ -301,44 +305,51 @@
             if clock().left(holder_by).is_zero() {
                 return not_answered(sent, &request);
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(RESEND_PAUSE).await;
         }
     }
 
-    /// Waits for a holder. If the node is isolated, one that `gives_up` then does not: callers are served sooner
+    /// Waits for a holder. If the node is isolated, one that `refuse_if_isolated` then does not: callers are served sooner
     /// by nodes that are not cut off.
-    async fn holder_until(&self, deadline: Deadline, gives_up: bool) -> Option<Leadership> {
+    async fn wait_for_holder(
+        &self,
+        deadline: Deadline,
+        refuse_if_isolated: bool,
+    ) -> Option<Leadership> {
         loop {
             let current = self.leadership.current();
-            if is_somebody(&current) {
+            if has_holder(&current) {
                 return Some(current);
             }
-            let isolated_until = self.isolated_until().filter(|_| gives_up);
-            let until = isolated_until.map_or(deadline, |until| until.min(deadline));
+            let isolation_deadline = self.isolation_deadline().filter(|_| refuse_if_isolated);
+            let until = isolation_deadline.map_or(deadline, |until| until.min(deadline));
             let left = clock().left(until);
             if left.is_zero() {
                 return None;
             }
             // Whether the node is isolated can change meanwhile.
-            let look = left.min(ISOLATION_LOOK);
-            let found = timeout(look, self.leadership.wait_until(is_somebody)).await;
+            let look = left.min(ISOLATION_CHECK_INTERVAL);
+            let found = timeout(look, self.leadership.wait_until(has_holder)).await;
             if let Ok(found) = found {
                 return found;
             }
         }
     }
 
-    fn pass_on(&self, leadership: &Leadership, ask: Ask) -> bool {
+    fn forward(&self, leadership: &Leadership, pending: PendingRequest) -> bool {
         match leadership {
-            Leadership::Nobody => false,
-            Leadership::Local => self.control.try_send(ControlEvent::Ask(ask)).is_ok(),
-            Leadership::Remote(link) => link.ask(ask),
+            Leadership::NoHolder => false,
+            Leadership::Local => self
+                .control
+                .try_send(ControlEvent::LocalRequest(pending))
+                .is_ok(),
+            Leadership::Remote(link) => link.send_request(pending),
         }
     }
 }
 
-const fn is_somebody(leadership: &Leadership) -> bool {
-    !matches!(leadership, Leadership::Nobody)
+const fn has_holder(leadership: &Leadership) -> bool {
+    !matches!(leadership, Leadership::NoHolder)
 }
 
 const fn job(request: &Request) -> Option<JobId> {
@@ -372,7 +383,7 @@
     }
 }
 
-const fn word(answer: Answer) -> &'static str {
+const fn label(answer: Answer) -> &'static str {
     match answer {
         Answer::Accepted => "accepted",
         Answer::Refused { .. } => "refused",
--- a/crates/chervilfall_node/src/leadership.rs
+++ b/crates/chervilfall_node/src/leadership.rs
@@ -12,7 +12,7 @@
 pub(crate) enum Leadership {
     /// Nobody that this node can reach.
     #[default]
-    Nobody,
+    NoHolder,
     /// This node.
     Local,
     /// A node that this one is linked to.
@@ -28,7 +28,7 @@
 impl LeadershipState {
     pub(crate) fn new() -> Self {
         Self {
-            sender: watch::Sender::new(Leadership::Nobody),
+            sender: watch::Sender::new(Leadership::NoHolder),
         }
     }
 
@@ -54,7 +54,7 @@
 
 /// A request on its way to the planner.
 #[derive(Debug)]
-pub(crate) struct Ask {
+pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) answer: oneshot::Sender<Answer>,
 }
--- a/crates/chervilfall_node/src/link/follower.rs
+++ b/crates/chervilfall_node/src/link/follower.rs
@@ -15,8 +15,8 @@
 
 use crate::clock::now_ms;
 use crate::front::Front;
-use crate::leadership::{Ask, HolderHealth, Leadership, LeadershipState};
-use crate::link::frames::{read, write, LinkEnd, QUEUE};
+use crate::leadership::{HolderHealth, Leadership, LeadershipState, PendingRequest};
+use crate::link::frames::{read, write, LinkEnd, QUEUE_CAPACITY};
 use crate::link::message::{ToFollower, ToHolder};
 use crate::ports::Advisor;
 use crate::settings::Settings;
@@ -31,11 +31,11 @@
 
 impl HolderLink {
     /// Sends a request; returns false if the link cannot take it, in which case it was not sent.
-    pub(crate) fn ask(&self, ask: Ask) -> bool {
+    pub(crate) fn send_request(&self, pending: PendingRequest) -> bool {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        waiting.insert(number, ask.answer);
-        let request = Box::new(ask.request);
+        waiting.insert(number, pending.answer);
+        let request = Box::new(pending.request);
         if self
             .queue
             .try_send(ToHolder::Request { number, request })
@@ -48,7 +48,7 @@
     }
 
     /// Tells of starts that could not be stored; returns false if the link cannot take that.
-    pub(crate) fn tell_unstored(&self, starts: &[StartNote]) -> bool {
+    pub(crate) fn send_unstored_starts(&self, starts: &[StartNote]) -> bool {
         let message = ToHolder::UnstoredStarts(starts.to_vec());
         self.queue.try_send(message).is_ok()
     }
@@ -108,7 +108,7 @@
         Err(_) => return DialError::Failed("timed out".to_owned()),
     };
     let (sink, mut stream) = socket.split();
-    let (queue, receiver) = mpsc::channel(QUEUE);
+    let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let link = Arc::new(HolderLink {
         queue,
         waiting: Mutex::new(HashMap::new()),
@@ -126,7 +126,7 @@
         loop {
             match read::<ToFollower>(&mut stream, silence).await {
                 Ok(message) => {
-                    if !take(message, &link, front, leadership, advisor) {
+                    if !handle_message(message, &link, front, leadership, advisor) {
                         return LinkEnd::Closed;
                     }
                 }
@@ -141,7 +141,7 @@
     };
     if let Leadership::Remote(current) = leadership.current() {
         if Arc::ptr_eq(&current, &link) {
-            leadership.set(Leadership::Nobody);
+            leadership.set(Leadership::NoHolder);
         }
     }
     link.drop_waiting();
@@ -176,7 +176,7 @@
 }
 
 /// Takes a message; returns false if the peer is no holder.
-fn take<A: Advisor>(
+fn handle_message<A: Advisor>(
     message: ToFollower,
     link: &Arc<HolderLink>,
     front: &Arc<Front>,
@@ -190,16 +190,18 @@
             configuration,
         } => {
             front.set_claim_age(claim_age_ms);
-            front.configuration().heard_of(configuration);
+            front.configuration().note_remote_version(configuration);
             let health = HolderHealth { term, claim_age_ms };
-            follow(link, leadership, health);
+            mark_holder_found(link, leadership, health);
         }
         ToFollower::Recovering => {}
         ToFollower::Configuration {
             asked_ms,
             age_ms,
             table,
-        } => front.configuration().told(asked_ms, age_ms, table),
+        } => front
+            .configuration()
+            .apply_from_holder(asked_ms, age_ms, table),
         ToFollower::Reply { number, answer } => link.answer(number, answer),
         ToFollower::Advise(order) => {
             let (advisor, link) = (advisor.clone(), Arc::clone(link));
@@ -215,9 +217,13 @@
     true
 }
 
-fn follow(link: &Arc<HolderLink>, leadership: &Arc<LeadershipState>, health: HolderHealth) {
+fn mark_holder_found(
+    link: &Arc<HolderLink>,
+    leadership: &Arc<LeadershipState>,
+    health: HolderHealth,
+) {
     let current = leadership.current();
-    if matches!(current, Leadership::Nobody) {
+    if matches!(current, Leadership::NoHolder) {
         log::info!(term = health.term, claim_age_ms = health.claim_age_ms; "holder found");
         leadership.set(Leadership::Remote(Arc::clone(link)));
     }
--- a/crates/chervilfall_node/src/link/frames.rs
+++ b/crates/chervilfall_node/src/link/frames.rs
@@ -16,7 +16,7 @@
 pub(super) type Socket = WebSocketStream<TcpStream>;
 
 /// Messages that may wait to be written; a peer that is this far behind is given up.
-pub(super) const QUEUE: usize = 4_096;
+pub(super) const QUEUE_CAPACITY: usize = 4_096;
 
 /// Why a link has ended.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/chervilfall_node/src/link/holder.rs
+++ b/crates/chervilfall_node/src/link/holder.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::now_ms;
 use crate::control::ControlEvent;
-use crate::link::frames::{read, write, LinkEnd, QUEUE};
+use crate::link::frames::{read, write, LinkEnd, QUEUE_CAPACITY};
 use crate::link::message::{ToFollower, ToHolder};
 use crate::settings::Timings;
 
@@ -73,7 +73,7 @@
         ));
     };
     let id: NodeId = NEXT_LINK.fetch_add(1, Ordering::Relaxed);
-    let (queue, receiver) = mpsc::channel(QUEUE);
+    let (queue, receiver) = mpsc::channel(QUEUE_CAPACITY);
     let link = FollowerLink {
         queue,
         cpu_permille,
@@ -96,7 +96,7 @@
                 },
                 ToHolder::Advised { number, answer } => ControlEvent::Advised { number, answer },
                 ToHolder::ConfigurationWanted { known, asked_ms } => {
-                    ControlEvent::ConfigurationWanted {
+                    ControlEvent::ConfigurationRequest {
                         id,
                         known,
                         asked_ms,
--- a/crates/chervilfall_node/src/load.rs
+++ b/crates/chervilfall_node/src/load.rs
@@ -8,7 +8,7 @@
 use chervilfall_kernel::Work;
 
 /// Time between status lines.
-const STATUS: Duration = Duration::from_secs(1);
+const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a status line says of the time since the one before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,9 +20,9 @@
     /// Most events that waited.
     pub most_waiting: usize,
     /// Greatest age of a probe when it was taken from the queue, in milliseconds.
-    pub oldest_ms: u64,
+    pub max_queue_age_ms: u64,
     /// Longest time that it worked at a stretch, in milliseconds.
-    pub longest_ms: u64,
+    pub max_stretch_ms: u64,
 }
 
 /// Adds up what the control thread works off.
@@ -59,7 +59,7 @@
     }
 
     /// Notes that a probe was taken from the queue that had waited for `age`.
-    pub fn probed(&mut self, age: Duration) {
+    pub fn record_queue_age(&mut self, age: Duration) {
         self.oldest = self.oldest.max(age);
         metrics::histogram!("chervilfall_control_queue_seconds").record(age.as_secs_f64());
     }
@@ -67,7 +67,7 @@
     /// Returns the status and begins anew, once a second.
     pub fn status(&mut self, now: Instant) -> Option<LoadStatus> {
         let passed = now.saturating_duration_since(self.since);
-        if passed < STATUS {
+        if passed < STATUS_INTERVAL {
             return None;
         }
         let busy_ratio = self.busy.as_secs_f64() / passed.as_secs_f64();
@@ -77,8 +77,8 @@
             busy_percent: percent(busy_ratio),
             events: self.events,
             most_waiting: self.most_waiting,
-            oldest_ms: millis(self.oldest),
-            longest_ms: millis(self.longest),
+            max_queue_age_ms: millis(self.oldest),
+            max_stretch_ms: millis(self.longest),
         };
         *self = Self::new(now);
         Some(status)
--- a/crates/chervilfall_node/src/node.rs
+++ b/crates/chervilfall_node/src/node.rs
@@ -20,7 +20,7 @@
 use crate::watch;
 
 /// Events that may wait for the control thread.
-const CONTROL_QUEUE: usize = 16_384;
+const CONTROL_QUEUE_CAPACITY: usize = 16_384;
 /// The only group: small fleets have one.
 const GROUP: &str = "group-0";
 
@@ -65,7 +65,7 @@
             .map_err(|cause| NodeError::Listen { address, cause })?;
         let settings = Arc::new(settings);
         let timings = settings.timings.clone();
-        let (control, receiver) = mpsc::channel(CONTROL_QUEUE);
+        let (control, receiver) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
         let leadership = Arc::new(LeadershipState::new());
         let configuration = Arc::new(ConfigurationState::new(settings.config_apply_ms));
         let front = Arc::new(Front::new(
@@ -120,7 +120,7 @@
             front: Arc::clone(&front),
             leadership,
             control: control.clone(),
-            kept: None,
+            retained: None,
         };
         tokio::spawn(claim.run());
         Ok(Self {
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// Returns an error if signals can't be taken.
-    pub async fn until_stopped(&self, hung_up: impl Fn()) -> Result<(), NodeError> {
+    pub async fn run_until_stopped(&self, hung_up: impl Fn()) -> Result<(), NodeError> {
         let mut terminate = signal(SignalKind::terminate()).map_err(NodeError::Signals)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(NodeError::Signals)?;
         let mut hangup = signal(SignalKind::hangup()).map_err(NodeError::Signals)?;
--- a/crates/chervilfall_node/src/settings.rs
+++ b/crates/chervilfall_node/src/settings.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 /// Time that a start takes to its endpoint at most, if it is not held up.
-const START_WAY_MS: u64 = 200;
+const START_TRANSIT_MS: u64 = 200;
 
 /// Why settings are refused.
 #[derive(Debug, thiserror::Error)]
@@ -112,7 +112,7 @@
 }
 
 /// Shortest time in which a configuration can be in force: readings that come so often burden the store.
-const LEAST_APPLY_MS: u64 = 500;
+const MIN_CONFIG_APPLY_MS: u64 = 500;
 
 const fn drain_ms() -> u64 {
     2_000
@@ -186,7 +186,7 @@
     #[must_use]
     pub const fn report_age_ms(&self) -> u64 {
         let followed_ms = self.capacity_notice_ms + self.report_ms;
-        followed_ms.saturating_sub(self.timings.endpoints_poll_ms + START_WAY_MS)
+        followed_ms.saturating_sub(self.timings.endpoints_poll_ms + START_TRANSIT_MS)
     }
 
     /// Returns the processor that the node may use, in thousandths of a core.
@@ -220,8 +220,8 @@
                 "must be between 0.001 and 1000".to_owned(),
             ));
         }
-        if settings.config_apply_ms < LEAST_APPLY_MS {
-            let cause = format!("must be at least {LEAST_APPLY_MS}");
+        if settings.config_apply_ms < MIN_CONFIG_APPLY_MS {
+            let cause = format!("must be at least {MIN_CONFIG_APPLY_MS}");
             return Err(field("config_apply_ms".to_owned(), cause));
         }
         if settings
--- a/crates/chervilfall_node/src/watch/claim.rs
+++ b/crates/chervilfall_node/src/watch/claim.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use chervilfall_planner::{
-    Batch, Candidate, CandidateMove, CommitOutcome, HolderRow, Identity, RowVersion, Stall,
+    Batch, Candidate, CandidateAction, CommitOutcome, HolderRow, Identity, RowVersion,
+    StallTimeouts,
 };
 use rand::Rng;
 use tokio::sync::{mpsc, oneshot};
@@ -18,21 +19,21 @@
 use crate::link::{dial, DialError};
 use crate::ports::{Platform, Row, Store, StoreError};
 use crate::settings::Settings;
-use crate::watch::takeover::KeptRows;
-use crate::watch::Dependency;
+use crate::watch::takeover::RetainedRows;
+use crate::watch::DependencyStatus;
 
 /// Spread of the looks at the claim row.
-const LOOK_JITTER_MS: u64 = 30;
+const POLL_JITTER_MS: u64 = 30;
 /// Commits of a holder that a slow store may take while the claim row stands still.
 const SLOW_STORE_FACTOR: u64 = 3;
 /// A reading of the claim row, or a claim, that is not answered for this long is joined by another.
-const ASK_AGAIN_MS: u64 = 150;
+const HEDGE_DELAY_MS: u64 = 150;
 /// Shortest pause before a holder is dialled again that does not serve yet.
-const DIAL_AGAIN_MS: u64 = 20;
+const MIN_REDIAL_PAUSE_MS: u64 = 20;
 /// Longest such pause.
-const DIAL_AGAIN_MOST_MS: u64 = 400;
+const MAX_REDIAL_PAUSE_MS: u64 = 400;
 
-struct Dialing {
+struct HolderConnection {
     row: HolderRow,
     task: JoinHandle<()>,
     /// Why there is no link, or none any more.
@@ -55,9 +56,9 @@
             log::info!(holder = holder.node.as_str(), term = holder.term, error:% = error; "no link to the holder");
         }
         self.pause_ms = if self.term == holder.term {
-            (self.pause_ms * 2).min(DIAL_AGAIN_MOST_MS)
+            (self.pause_ms * 2).min(MAX_REDIAL_PAUSE_MS)
         } else {
-            DIAL_AGAIN_MS
+            MIN_REDIAL_PAUSE_MS
         };
         self.term = holder.term;
         self.error = Some(error.clone());
@@ -82,7 +83,7 @@
     pub(crate) leadership: Arc<LeadershipState>,
     pub(crate) control: mpsc::Sender<ControlEvent>,
     /// Rows that were read under a claim which was handed back.
-    pub(crate) kept: Option<KeptRows>,
+    pub(crate) retained: Option<RetainedRows>,
 }
 
 impl<P: Platform> ClaimWatch<P> {
@@ -96,56 +97,58 @@
             started_ms: 0,
             cpu_permille: self.settings.cpu_permille(),
         });
-        let mut dependency = Dependency::new("claim row");
-        let mut dialing: Option<Dialing> = None;
+        let mut dependency = DependencyStatus::new("claim row");
+        let mut connection: Option<HolderConnection> = None;
         let mut failures = LinkFailures::default();
         let poll_ms = self.settings.timings.claim_poll_ms;
         loop {
-            let pause_ms = if self.holder_works() {
+            let pause_ms = if self.has_working_holder() {
                 self.front.set_isolated(false);
                 candidate.reset();
                 poll_ms
             } else {
-                self.look(&mut candidate, &mut dialing, &mut dependency)
+                self.check_claim(&mut candidate, &mut connection, &mut dependency)
                     .await
             };
             // Candidates that look at the same moment would all claim; one wins, the others did it in vain.
-            let jitter_ms = rand::rng().random_range(0..=LOOK_JITTER_MS);
+            let jitter_ms = rand::rng().random_range(0..=POLL_JITTER_MS);
             let pause = Duration::from_millis(pause_ms + jitter_ms);
             if let Some(holder) = self
-                .wait_for_trouble(pause, &mut dialing, &mut failures)
+                .wait_for_next_check(pause, &mut connection, &mut failures)
                 .await
             {
-                candidate.refused_by(now_ms(), &holder);
+                candidate.record_refused_connection(now_ms(), &holder);
             }
         }
     }
 
     /// Reads the claim row and acts on it; returns when to look again.
-    async fn look(
+    async fn check_claim(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
-        dependency: &mut Dependency,
+        connection: &mut Option<HolderConnection>,
+        dependency: &mut DependencyStatus,
     ) -> u64 {
         let pause_ms = self.settings.timings.claim_poll_ms / 2;
         let began_ms = now_ms();
         let read = self.read_claim().await;
         let took_ms = now_ms().saturating_sub(began_ms);
         dependency.note(&read);
-        let nobody = matches!(self.leadership.current(), Leadership::Nobody);
+        let nobody = matches!(self.leadership.current(), Leadership::NoHolder);
         self.front.set_isolated(nobody && read.is_err());
         let Ok(reading) = read else {
-            candidate.unreadable();
+            candidate.record_unreadable();
             return pause_ms;
         };
-        let look_in_ms = self.consider(candidate, dialing, reading, took_ms).await;
-        look_in_ms.min(pause_ms)
+        let check_in_ms = self
+            .act_on_reading(candidate, connection, reading, took_ms)
+            .await;
+        check_in_ms.min(pause_ms)
     }
 
-    fn holder_works(&self) -> bool {
+    fn has_working_holder(&self) -> bool {
         match self.leadership.current() {
-            Leadership::Nobody => false,
+            Leadership::NoHolder => false,
             Leadership::Local => true,
             Leadership::Remote(_) => self.front.claim_age_ms() < self.settings.timings.stale_ms,
         }
@@ -153,17 +156,17 @@
 
     /// Waits, but not if the holder is lost meanwhile or a link ends; returns the holder if its address refused
     /// the connection.
-    async fn wait_for_trouble(
+    async fn wait_for_next_check(
         &self,
         pause: Duration,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         failures: &mut LinkFailures,
     ) -> Option<HolderRow> {
         let mut changes = self.leadership.subscribe();
-        let followed = !matches!(*changes.borrow_and_update(), Leadership::Nobody);
+        let followed = !matches!(*changes.borrow_and_update(), Leadership::NoHolder);
         let link_end = async {
-            match dialing {
-                Some(dialing) => (&mut dialing.end).await.ok(),
+            match connection {
+                Some(connection) => (&mut connection.end).await.ok(),
                 None => std::future::pending().await,
             }
         };
@@ -172,7 +175,7 @@
             _ = changes.changed(), if followed => return None,
             () = tokio::time::sleep(pause) => return None,
         };
-        let ended = dialing.take()?;
+        let ended = connection.take()?;
         let error = end?;
         metrics::counter!("chervilfall_links_failed_total").increment(1);
         let pause_ms = failures.note(&ended.row, &error);
@@ -191,7 +194,7 @@
         let store = self.platform.store();
         let first = store.read_claim(&self.group);
         let second = async {
-            tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from_millis(HEDGE_DELAY_MS)).await;
             store.read_claim(&self.group).await
         };
         tokio::pin!(first);
@@ -224,16 +227,16 @@
     }
 
     /// Acts on a reading; returns when to look again.
-    async fn consider(
+    async fn act_on_reading(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         reading: ClaimReading,
         took_ms: u64,
     ) -> u64 {
         let poll_ms = self.settings.timings.claim_poll_ms;
-        let stall = Stall {
-            unsaid_ms: self.settings.timings.stall_ms,
+        let stall = StallTimeouts {
+            unreported_ms: self.settings.timings.stall_ms,
             refused_ms: self.settings.timings.refused_stall_ms,
             slow_ms: SLOW_STORE_FACTOR * took_ms,
         };
@@ -244,17 +247,17 @@
             reading.row,
             &stall,
         ) {
-            CandidateMove::Follow {
+            CandidateAction::Follow {
                 holder,
                 claim_in_ms,
             } => {
-                self.follow(dialing, holder);
+                self.follow(connection, holder);
                 claim_in_ms
             }
-            CandidateMove::Wait => poll_ms,
-            CandidateMove::Claim(batch, row) => {
+            CandidateAction::Wait => poll_ms,
+            CandidateAction::Claim(batch, row) => {
                 if !self.front.stopping() {
-                    self.claim(candidate, dialing, batch, row).await;
+                    self.claim(candidate, connection, batch, row).await;
                 }
                 poll_ms
             }
@@ -264,19 +267,19 @@
     async fn claim(
         &mut self,
         candidate: &mut Candidate,
-        dialing: &mut Option<Dialing>,
+        connection: &mut Option<HolderConnection>,
         batch: Batch,
         row: HolderRow,
     ) {
         let claimed_ms = now_ms();
         let outcome = self.commit_claim(batch).await;
-        if let Some(version) = won_version(&outcome, &row) {
-            self.abandon(dialing);
+        if let Some(version) = claimed_version(&outcome, &row) {
+            self.drop_connection(connection);
             let takeover = candidate.won(row, version);
             log::info!(term = takeover.row.term, fence = takeover.fence; "group claimed");
-            self.load(candidate, takeover, claimed_ms).await;
+            self.load_rows(candidate, takeover, claimed_ms).await;
         } else {
-            log::info!(outcome = outcome.word(); "claim not won");
+            log::info!(outcome = outcome.label(); "claim not won");
         }
     }
 
@@ -287,7 +290,7 @@
         let again = batch.clone();
         let first = store.commit(&self.group, batch);
         let second = async {
-            tokio::time::sleep(Duration::from_millis(ASK_AGAIN_MS)).await;
+            tokio::time::sleep(Duration::from_millis(HEDGE_DELAY_MS)).await;
             store.commit(&self.group, again).await
         };
         tokio::pin!(first);
@@ -301,14 +304,14 @@
         }
     }
 
-    fn follow(&self, dialing: &mut Option<Dialing>, holder: HolderRow) {
-        let same = dialing.as_ref().is_some_and(|dialing| {
-            dialing.row.incarnation == holder.incarnation && dialing.row.term == holder.term
+    fn follow(&self, connection: &mut Option<HolderConnection>, holder: HolderRow) {
+        let same = connection.as_ref().is_some_and(|connection| {
+            connection.row.incarnation == holder.incarnation && connection.row.term == holder.term
         });
         if same {
             return;
         }
-        self.abandon(dialing);
+        self.drop_connection(connection);
         let Ok(address) = holder.address.parse::<SocketAddr>() else {
             log::warn!(holder = holder.node.as_str(), address = holder.address.as_str(); "holder's address cannot be read");
             return;
@@ -324,25 +327,25 @@
             // The watch lives as long as the process.
             drop(ended.send(error));
         });
-        *dialing = Some(Dialing {
+        *connection = Some(HolderConnection {
             row: holder,
             task,
             end,
         });
     }
 
-    fn abandon(&self, dialing: &mut Option<Dialing>) {
-        if let Some(old) = dialing.take() {
+    fn drop_connection(&self, connection: &mut Option<HolderConnection>) {
+        if let Some(old) = connection.take() {
             old.task.abort();
             if matches!(self.leadership.current(), Leadership::Remote(_)) {
-                self.leadership.set(Leadership::Nobody);
+                self.leadership.set(Leadership::NoHolder);
             }
         }
     }
 }
 
 /// Returns the version of a claim that was won; a conflict may show the claim itself, carried out by another copy.
-fn won_version(outcome: &CommitOutcome, row: &HolderRow) -> Option<RowVersion> {
+fn claimed_version(outcome: &CommitOutcome, row: &HolderRow) -> Option<RowVersion> {
     match outcome {
         CommitOutcome::Stored { version, .. } => Some(*version),
         CommitOutcome::Conflict(Some((version, bytes))) => {
--- a/crates/chervilfall_node/src/watch/configuration.rs
+++ b/crates/chervilfall_node/src/watch/configuration.rs
@@ -8,18 +8,18 @@
 use crate::configuration::ConfigurationState;
 use crate::leadership::{Leadership, LeadershipState};
 use crate::ports::{ConfigurationReading, Store};
-use crate::watch::readings::{ReadingTimes, Readings, Step};
+use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
 
 /// Readings without an answer after which the holder is asked too.
-const UNANSWERED: usize = 2;
+const ASK_HOLDER_AFTER: usize = 2;
 
 /// Returns times by which a change is in force within a bound, although three readings in a row are not answered, or each
 /// takes half of the bound.
 const fn times_within(apply_ms: u64) -> ReadingTimes {
     ReadingTimes {
         poll_ms: apply_ms * 3 / 10,
-        least_hedge_ms: apply_ms * 3 / 20,
-        most_hedge_ms: apply_ms / 4,
+        min_hedge_ms: apply_ms * 3 / 20,
+        max_hedge_ms: apply_ms / 4,
     }
 }
 
@@ -35,30 +35,30 @@
         known: None,
         unreadable: false,
     };
-    let mut readings = Readings::new("configuration", times_within(apply_ms));
+    let mut readings = HedgedReads::new("configuration", times_within(apply_ms));
     loop {
         let step = tokio::select! {
-            step = readings.step() => step,
-            () = reader.configuration.wanted() => {
-                readings.hasten();
+            next_event = readings.next_event() => next_event,
+            () = reader.configuration.reading_requested() => {
+                readings.read_soon();
                 continue;
             }
         };
         match step {
-            Step::Due => {
-                if readings.unanswered() >= UNANSWERED {
+            ReadEvent::Due => {
+                if readings.unanswered() >= ASK_HOLDER_AFTER {
                     reader.ask_holder(&leadership);
                 }
                 let (store, known) = (store.clone(), reader.known);
                 readings.begin(async move { store.read_configuration(known).await });
             }
-            Step::Answered { began_ms, value } => {
+            ReadEvent::Answered { began_ms, value } => {
                 if value == ConfigurationReading::Absent {
-                    readings.hasten();
+                    readings.read_soon();
                 }
-                reader.take(value, began_ms);
+                reader.apply(value, began_ms);
             }
-            Step::None => {}
+            ReadEvent::None => {}
         }
         metrics::gauge!("chervilfall_configuration_readings_unanswered")
             .set(readings.unanswered() as f64);
@@ -81,18 +81,18 @@
         }
     }
 
-    fn take(&mut self, found: ConfigurationReading, began_ms: u64) {
-        self.configuration.hear(began_ms);
+    fn apply(&mut self, found: ConfigurationReading, began_ms: u64) {
+        self.configuration.record_answer(began_ms);
         match found {
             ConfigurationReading::Absent => {}
             ConfigurationReading::Unchanged if self.unreadable => {}
             ConfigurationReading::Unchanged => self.configuration.confirm(began_ms),
             ConfigurationReading::Changed { version, table } => {
-                self.note_row(version, false);
-                self.configuration.put(Arc::new(table), began_ms);
+                self.record_row(version, false);
+                self.configuration.put_in_force(Arc::new(table), began_ms);
             }
             ConfigurationReading::Unreadable { version, error } => {
-                self.note_row(version, true);
+                self.record_row(version, true);
                 let in_force = self.configuration.version();
                 log::error!(
                     row = version, in_force = in_force, error:% = error;
@@ -102,7 +102,7 @@
         }
     }
 
-    fn note_row(&mut self, version: RowVersion, unreadable: bool) {
+    fn record_row(&mut self, version: RowVersion, unreadable: bool) {
         self.known = Some(version);
         self.unreadable = unreadable;
         metrics::gauge!("chervilfall_configuration_unreadable")
--- a/crates/chervilfall_node/src/watch/endpoints.rs
+++ b/crates/chervilfall_node/src/watch/endpoints.rs
@@ -9,15 +9,15 @@
 use crate::control::ControlEvent;
 use crate::leadership::{Leadership, LeadershipState};
 use crate::ports::Store;
-use crate::watch::readings::{ReadingTimes, Readings, Step};
+use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
 
 /// Returns times by which three readings in a row may be lost within a bound. Lists are long, so that another reading
 /// waits longer where answers take long.
 pub(crate) const fn times_within(poll_ms: u64, drain_ms: u64) -> ReadingTimes {
     ReadingTimes {
         poll_ms,
-        least_hedge_ms: drain_ms * 3 / 20,
-        most_hedge_ms: drain_ms * 3 / 5,
+        min_hedge_ms: drain_ms * 3 / 20,
+        max_hedge_ms: drain_ms * 3 / 5,
     }
 }
 
@@ -30,26 +30,30 @@
 ) {
     let holds = |leadership: &Leadership| matches!(leadership, Leadership::Local);
     while leadership.wait_until(holds).await.is_some() {
-        let mut readings = Readings::new("endpoint list", times);
+        let mut readings = HedgedReads::new("endpoint list", times);
         let mut newest = 0;
         while holds(&leadership.current()) {
-            match readings.step().await {
-                Step::Due => {
+            match readings.next_event().await {
+                ReadEvent::Due => {
                     let store = store.clone();
                     readings.begin(async move { store.read_endpoints().await });
                 }
                 // A list that was asked for later may have been read sooner: none goes back behind another.
-                Step::Answered { began_ms, value } if value.version >= newest => {
+                ReadEvent::Answered { began_ms, value } if value.version >= newest => {
                     newest = value.version;
-                    tell(&control, began_ms, value.entries).await;
+                    send_entries(&control, began_ms, value.entries).await;
                 }
-                Step::Answered { .. } | Step::None => {}
+                ReadEvent::Answered { .. } | ReadEvent::None => {}
             }
         }
     }
 }
 
-async fn tell(control: &mpsc::Sender<ControlEvent>, read_ms: u64, entries: Vec<EndpointEntry>) {
+async fn send_entries(
+    control: &mpsc::Sender<ControlEvent>,
+    read_ms: u64,
+    entries: Vec<EndpointEntry>,
+) {
     // The control thread ends with the process only.
     let event = ControlEvent::Endpoints { read_ms, entries };
     drop(control.send(event).await);
--- a/crates/chervilfall_node/src/watch/readings.rs
+++ b/crates/chervilfall_node/src/watch/hedged_reads.rs
@@ -10,10 +10,10 @@
 
 use crate::clock::now_ms;
 use crate::ports::StoreError;
-use crate::watch::Dependency;
+use crate::watch::DependencyStatus;
 
 /// Readings that may be on their way at the same time.
-const MOST_READINGS: usize = 4;
+const MAX_IN_FLIGHT: usize = 4;
 /// Pause after a reading that was refused, and the shortest between two.
 pub(crate) const RETRY_MS: u64 = 150;
 
@@ -23,22 +23,22 @@
     /// From the begin of one that was answered.
     pub(crate) poll_ms: u64,
     /// From the begin of one that is not answered, at least.
-    pub(crate) least_hedge_ms: u64,
+    pub(crate) min_hedge_ms: u64,
     /// From the begin of one that is not answered, at most.
-    pub(crate) most_hedge_ms: u64,
+    pub(crate) max_hedge_ms: u64,
 }
 
 impl ReadingTimes {
     /// Returns when a reading that is not answered is joined by another one: later if answers take long, so that a thin
     /// link is not filled with the same answer several times.
     fn hedge_ms(&self, last_took_ms: u64) -> u64 {
-        (2 * last_took_ms).clamp(self.least_hedge_ms, self.most_hedge_ms)
+        (2 * last_took_ms).clamp(self.min_hedge_ms, self.max_hedge_ms)
     }
 }
 
 /// What a reader has to do next.
 #[derive(Debug)]
-pub(crate) enum Step<T> {
+pub(crate) enum ReadEvent<T> {
     /// A reading is due.
     Due,
     /// A reading was answered that began later than all that were answered before.
@@ -59,9 +59,9 @@
 }
 
 /// Readings of one thing.
-pub(crate) struct Readings<T> {
+pub(crate) struct HedgedReads<T> {
     times: ReadingTimes,
-    dependency: Dependency,
+    dependency: DependencyStatus,
     running: JoinSet<Reading<T>>,
     /// Readings that are on their way, and when they began.
     pending: Vec<(u64, AbortHandle)>,
@@ -73,12 +73,12 @@
     failed_in_a_row: usize,
 }
 
-impl<T: Send + 'static> Readings<T> {
+impl<T: Send + 'static> HedgedReads<T> {
     /// Returns readings of which the first is due now.
     pub(crate) fn new(name: &'static str, times: ReadingTimes) -> Self {
         Self {
             times,
-            dependency: Dependency::new(name),
+            dependency: DependencyStatus::new(name),
             running: JoinSet::new(),
             pending: Vec::new(),
             due_ms: now_ms(),
@@ -95,12 +95,12 @@
     }
 
     /// Waits until a reading has ended or the next one is due.
-    pub(crate) async fn step(&mut self) -> Step<T> {
-        let may_begin = self.running.len() < MOST_READINGS;
+    pub(crate) async fn next_event(&mut self) -> ReadEvent<T> {
+        let may_begin = self.running.len() < MAX_IN_FLIGHT;
         let wait = Duration::from_millis(self.due_ms.saturating_sub(now_ms()));
         tokio::select! {
-            Some(reading) = self.running.join_next() => self.joined(reading),
-            () = tokio::time::sleep(wait), if may_begin => Step::Due,
+            Some(reading) = self.running.join_next() => self.handle_finished(reading),
+            () = tokio::time::sleep(wait), if may_begin => ReadEvent::Due,
         }
     }
 
@@ -120,19 +120,19 @@
     }
 
     /// Lets the next reading begin now, unless one has begun just now.
-    pub(crate) fn hasten(&mut self) {
+    pub(crate) fn read_soon(&mut self) {
         let soonest_ms = self.last_began_ms + RETRY_MS;
         self.due_ms = self.due_ms.min(now_ms().max(soonest_ms));
     }
 
-    fn joined(&mut self, reading: Result<Reading<T>, JoinError>) -> Step<T> {
+    fn handle_finished(&mut self, reading: Result<Reading<T>, JoinError>) -> ReadEvent<T> {
         let Reading { began_ms, read } = match reading {
             Ok(reading) => reading,
             Err(error) => {
                 if !error.is_cancelled() {
                     log::error!(error:% = error; "reading ended badly");
                 }
-                return Step::None;
+                return ReadEvent::None;
             }
         };
         self.dependency.note(&read);
@@ -140,13 +140,13 @@
             Ok(value) => self.answered(began_ms, value),
             Err(error) => {
                 self.failed(began_ms, &error);
-                Step::None
+                ReadEvent::None
             }
         }
     }
 
     /// Gives up readings that could tell only what is known, and plans the next one.
-    fn answered(&mut self, began_ms: u64, value: T) -> Step<T> {
+    fn answered(&mut self, began_ms: u64, value: T) -> ReadEvent<T> {
         self.failed_in_a_row = 0;
         self.pending.retain(|(other_ms, handle)| {
             let newer = *other_ms > began_ms;
@@ -156,14 +156,14 @@
             newer
         });
         if began_ms <= self.answered_ms {
-            return Step::None;
+            return ReadEvent::None;
         }
         self.answered_ms = began_ms;
         self.last_took_ms = now_ms() - began_ms;
         if self.pending.is_empty() {
             self.due_ms = began_ms + self.times.poll_ms;
         }
-        Step::Answered { began_ms, value }
+        ReadEvent::Answered { began_ms, value }
     }
 
     fn failed(&mut self, began_ms: u64, error: &StoreError) {
--- a/crates/chervilfall_node/src/watch/mod.rs
+++ b/crates/chervilfall_node/src/watch/mod.rs
@@ -3,8 +3,8 @@
 pub(crate) mod claim;
 pub(crate) mod configuration;
 pub(crate) mod endpoints;
+pub(crate) mod hedged_reads;
 pub(crate) mod pages;
-pub(crate) mod readings;
 pub(crate) mod recovery;
 pub(crate) mod takeover;
 
@@ -12,12 +12,12 @@
 
 /// Says once when a dependency is lost and once when it is back.
 #[derive(Debug)]
-pub(crate) struct Dependency {
+pub(crate) struct DependencyStatus {
     name: &'static str,
     lost_ms: Option<u64>,
 }
 
-impl Dependency {
+impl DependencyStatus {
     pub(crate) const fn new(name: &'static str) -> Self {
         Self {
             name,
--- a/crates/chervilfall_node/src/watch/pages.rs
+++ b/crates/chervilfall_node/src/watch/pages.rs
@@ -7,13 +7,13 @@
 use crate::ports::{Row, Store, StoreError};
 
 /// Rows of the first page.
-const FIRST_ROWS: usize = 100;
+const INITIAL_ROWS: usize = 100;
 /// Most rows of a page.
-const MOST_ROWS: usize = 500;
+const MAX_ROWS: usize = 500;
 /// A page that came within this is followed by one of twice its rows.
-const SHORT_MS: u64 = 200;
+const FAST_PAGE_MS: u64 = 200;
 /// Pages without an answer are followed by ones with so many times fewer rows.
-const SHRINK: usize = 4;
+const SHRINK_FACTOR: usize = 4;
 /// Pause after a page that did not come.
 const PAUSE: Duration = Duration::from_millis(100);
 
@@ -25,7 +25,7 @@
 
 impl Default for PageSize {
     fn default() -> Self {
-        Self { rows: FIRST_ROWS }
+        Self { rows: INITIAL_ROWS }
     }
 }
 
@@ -37,15 +37,15 @@
     }
 
     /// Takes note of a page that came after some time.
-    pub fn came(&mut self, took_ms: u64) {
-        if took_ms <= SHORT_MS {
-            self.rows = (self.rows * 2).min(MOST_ROWS);
+    pub fn record_page(&mut self, took_ms: u64) {
+        if took_ms <= FAST_PAGE_MS {
+            self.rows = (self.rows * 2).min(MAX_ROWS);
         }
     }
 
     /// Takes note of a page that did not come.
-    pub fn missed(&mut self) {
-        self.rows = (self.rows / SHRINK).max(1);
+    pub fn record_failure(&mut self) {
+        self.rows = (self.rows / SHRINK_FACTOR).max(1);
     }
 }
 
@@ -56,7 +56,7 @@
     /// Bytes of their values.
     pub(super) bytes: u64,
     /// Pages that did not come.
-    pub(super) missed: u64,
+    pub(super) failed_pages: u64,
 }
 
 /// What all readings of a group have brought.
@@ -64,7 +64,7 @@
 pub(super) struct Progress {
     rows: AtomicU64,
     bytes: AtomicU64,
-    missed: AtomicU64,
+    failed_pages: AtomicU64,
     /// When a page came last, in milliseconds.
     last_ms: AtomicU64,
 }
@@ -74,24 +74,24 @@
         Self {
             rows: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
-            missed: AtomicU64::new(0),
+            failed_pages: AtomicU64::new(0),
             last_ms: AtomicU64::new(now_ms()),
         }
     }
 
-    fn came(&self, rows: &[Row]) {
+    fn record_page(&self, rows: &[Row]) {
         let bytes: usize = rows.iter().map(|row| row.value.len()).sum();
         self.rows.fetch_add(rows.len() as u64, Ordering::Relaxed);
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
         self.last_ms.store(now_ms(), Ordering::Relaxed);
     }
 
-    fn missed(&self) {
-        self.missed.fetch_add(1, Ordering::Relaxed);
+    fn record_failure(&self) {
+        self.failed_pages.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Returns how long ago a page came last.
-    pub(super) fn still_ms(&self) -> u64 {
+    pub(super) fn since_last_page_ms(&self) -> u64 {
         now_ms().saturating_sub(self.last_ms.load(Ordering::Relaxed))
     }
 
@@ -100,7 +100,7 @@
         ReadCounts {
             rows: count(&self.rows),
             bytes: count(&self.bytes),
-            missed: count(&self.missed),
+            failed_pages: count(&self.failed_pages),
         }
     }
 }
@@ -137,27 +137,27 @@
             let read = store.read_page(group, self.table, after, self.size.rows());
             match read.await {
                 Ok(page) => {
-                    progress.came(&page.rows);
-                    self.size.came(now_ms().saturating_sub(began_ms));
+                    progress.record_page(&page.rows);
+                    self.size.record_page(now_ms().saturating_sub(began_ms));
                     self.done = !page.more || page.rows.is_empty();
                     if let Some(last) = page.rows.last() {
                         self.last_key = Some(last.key.clone());
                     }
                     return Some(page.rows);
                 }
-                Err(error) => self.missed(&error, progress),
+                Err(error) => self.record_failure(&error, progress),
             }
             tokio::time::sleep(PAUSE).await;
         }
         None
     }
 
-    fn missed(&mut self, error: &StoreError, progress: &Progress) {
+    fn record_failure(&mut self, error: &StoreError, progress: &Progress) {
         log::warn!(
             table = self.table, rows = self.size.rows(), error:% = error;
             "page of the group's rows did not come"
         );
-        progress.missed();
-        self.size.missed();
+        progress.record_failure();
+        self.size.record_failure();
     }
 }
--- a/crates/chervilfall_node/src/watch/recovery.rs
+++ b/crates/chervilfall_node/src/watch/recovery.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use chervilfall_planner::{
-    decode_text, Event, JobId, JobRow, ProgressRow, RosterEntry, StartsRow, Stored, ENDED, JOBS,
-    PROGRESS, ROSTER, STARTS, TEXTS,
+    decode_text, Event, JobId, JobRow, ProgressRow, RosterEntry, StartsRow, StoredGroup, ENDED,
+    JOBS, PROGRESS, ROSTER, STARTS, TEXTS,
 };
 
 use crate::ports::{Row, Store, StoreError};
@@ -54,8 +54,8 @@
         Ok(())
     }
 
-    pub(super) fn into_stored(self) -> Stored {
-        Stored {
+    pub(super) fn into_stored(self) -> StoredGroup {
+        StoredGroup {
             jobs: self.jobs.values,
             progress: self.progress.values,
             roster: self.roster.values,
@@ -94,48 +94,48 @@
     }
 }
 
-/// Reads texts, then ended jobs, and passes them on until `tell` says that nobody wants them any more.
+/// Reads texts, then ended jobs, and passes them on until `send` says that nobody wants them any more.
 ///
 /// A row that cannot be decoded concerns one job: that job's tasks are not started, or its name is not taken for new, and the
 /// others go on. So what is missing is never said to be all.
 pub(super) async fn read_history<S: Store, F: Future<Output = bool>>(
     store: &S,
     group: &str,
-    tell: impl Fn(Event) -> F,
+    send: impl Fn(Event) -> F,
 ) {
     let progress = Progress::new();
     let mut texts = TableReader::new(TEXTS);
     let mut unreadable = 0;
     while let Some(rows) = texts.next(store, group, &progress).await {
-        let texts = decodable(&rows, decode_row_text, &mut unreadable);
-        if !tell(Event::Texts(texts)).await {
+        let texts = decode_rows(&rows, decode_row_text, &mut unreadable);
+        if !send(Event::Texts(texts)).await {
             return;
         }
     }
-    if unreadable == 0 && !tell(Event::TextsRead).await {
+    if unreadable == 0 && !send(Event::TextsRead).await {
         return;
     }
     let mut ended = TableReader::new(ENDED);
     let texts_unreadable = std::mem::take(&mut unreadable);
     while let Some(rows) = ended.next(store, group, &progress).await {
-        let ends = decodable(&rows, decode_ended, &mut unreadable);
-        if !tell(Event::Ended(ends)).await {
+        let ends = decode_rows(&rows, decode_ended, &mut unreadable);
+        if !send(Event::Ended(ends)).await {
             return;
         }
     }
     if unreadable == 0 {
-        tell(Event::HistoryRead).await;
+        send(Event::HistoryRead).await;
     }
     let counts = progress.counts();
     log::info!(
-        rows = counts.rows, bytes = counts.bytes, missed = counts.missed,
+        rows = counts.rows, bytes = counts.bytes, missed = counts.failed_pages,
         unreadable = texts_unreadable + unreadable;
         "texts and ended jobs read"
     );
 }
 
 /// Decodes what can be decoded, and counts the other rows.
-fn decodable<T>(
+fn decode_rows<T>(
     rows: &[Row],
     decode: fn(&Row) -> Result<T, StoreError>,
     unreadable: &mut u64,
@@ -158,18 +158,18 @@
     StoreError::Malformed(format!("row {}: {error}", row.key))
 }
 
-fn name(row: &Row) -> Result<JobId, StoreError> {
+fn job_id(row: &Row) -> Result<JobId, StoreError> {
     row.key.parse().map_err(|error| malformed(row, error))
 }
 
 fn decode_job(row: &Row) -> Result<Vec<(JobId, JobRow)>, StoreError> {
     let value = JobRow::decode(&row.value).map_err(|error| malformed(row, error))?;
-    Ok(vec![(name(row)?, value)])
+    Ok(vec![(job_id(row)?, value)])
 }
 
 fn decode_ended(row: &Row) -> Result<(JobId, ProgressRow), StoreError> {
     let value = ProgressRow::decode(&row.value).map_err(|error| malformed(row, error))?;
-    Ok((name(row)?, value))
+    Ok((job_id(row)?, value))
 }
 
 fn decode_progress(row: &Row) -> Result<Vec<(JobId, ProgressRow)>, StoreError> {
@@ -189,5 +189,5 @@
 
 fn decode_row_text(row: &Row) -> Result<(JobId, Arc<str>), StoreError> {
     let text = decode_text(&row.value).map_err(|error| malformed(row, error))?;
-    Ok((name(row)?, Arc::from(text)))
+    Ok((job_id(row)?, Arc::from(text)))
 }
--- a/crates/chervilfall_node/src/watch/takeover.rs
+++ b/crates/chervilfall_node/src/watch/takeover.rs
@@ -17,14 +17,14 @@
 /// that holds meanwhile.
 const RENEW_MS: u64 = 400;
 /// A claim is handed back if no page of the rows has come for this long: some times the bound of a page.
-const STUCK_MS: u64 = 3_000;
+const NO_PROGRESS_LIMIT_MS: u64 = 3_000;
 /// Time between lines that say how far a reading of the rows has come.
-const PROGRESS_LINE_MS: u64 = 1_000;
+const PROGRESS_LOG_INTERVAL_MS: u64 = 1_000;
 /// Somebody else has claimed the group.
 struct ClaimLost;
 
 /// Rows that were read under a claim which was handed back.
-pub(crate) struct KeptRows {
+pub(crate) struct RetainedRows {
     term: u64,
     rows: GroupReader,
 }
@@ -33,7 +33,7 @@
     /// Reads the rows of the group that was claimed, and keeps the claim alive meanwhile: a machine with a slow link can
     /// take longer than the claim may stand still. The claim is handed back if nothing comes, so that nodes which can read
     /// the rows are not kept from them.
-    pub(super) async fn load(
+    pub(super) async fn load_rows(
         &mut self,
         candidate: &mut Candidate,
         mut takeover: Takeover,
@@ -41,7 +41,7 @@
     ) {
         let began_ms = now_ms();
         let progress = Progress::new();
-        let mut rows = self.kept_rows(&takeover);
+        let mut rows = self.retained_rows(&takeover);
         let mut confirmed_ms = claimed_ms;
         self.set_recovering(true).await;
         let read = {
@@ -51,12 +51,12 @@
                 read
             };
             tokio::pin!(reading);
-            let mut next_line_ms = began_ms + PROGRESS_LINE_MS;
+            let mut next_line_ms = began_ms + PROGRESS_LOG_INTERVAL_MS;
             loop {
                 tokio::select! {
                     read = &mut reading => break Some(read),
                     () = tokio::time::sleep(Duration::from_millis(RENEW_MS)) => {
-                        if progress.still_ms() >= STUCK_MS {
+                        if progress.since_last_page_ms() >= NO_PROGRESS_LIMIT_MS {
                             break None;
                         }
                         let sent_ms = now_ms();
@@ -70,14 +70,14 @@
                             }
                         }
                         if now_ms() >= next_line_ms {
-                            next_line_ms += PROGRESS_LINE_MS;
-                            say_progress(&takeover, &progress, began_ms);
+                            next_line_ms += PROGRESS_LOG_INTERVAL_MS;
+                            report_progress(&takeover, &progress, began_ms);
                         }
                     }
                 }
             }
         };
-        say_progress(&takeover, &progress, began_ms);
+        report_progress(&takeover, &progress, began_ms);
         match read {
             Some(Ok(())) => self.take_over(takeover, rows, confirmed_ms).await,
             Some(Err(error)) => {
@@ -85,20 +85,20 @@
                 self.hand_back(candidate, &mut takeover).await;
             }
             None => {
-                log::warn!(term = takeover.row.term, still_ms = progress.still_ms(); "group's rows do not come, claim handed back");
+                log::warn!(term = takeover.row.term, still_ms = progress.since_last_page_ms(); "group's rows do not come, claim handed back");
                 self.hand_back(candidate, &mut takeover).await;
                 let term = takeover.row.term;
-                self.kept = Some(KeptRows { term, rows });
+                self.retained = Some(RetainedRows { term, rows });
             }
         }
         self.set_recovering(false).await;
     }
 
     /// Returns what was read under an earlier claim of this process, if nobody has held the group since.
-    fn kept_rows(&mut self, takeover: &Takeover) -> GroupReader {
-        let kept = self.kept.take();
-        let kept = kept.filter(|kept| kept.term + 1 == takeover.row.term);
-        kept.map_or_else(GroupReader::new, |kept| kept.rows)
+    fn retained_rows(&mut self, takeover: &Takeover) -> GroupReader {
+        let retained = self.retained.take();
+        let retained = retained.filter(|retained| retained.term + 1 == takeover.row.term);
+        retained.map_or_else(GroupReader::new, |retained| retained.rows)
     }
 
     /// Tells the control thread whether rows are being read, so that links to this node last until it serves.
@@ -133,24 +133,24 @@
         let (store, group) = (self.platform.store().clone(), self.group.clone());
         let (control, leadership) = (self.control.clone(), Arc::clone(&self.leadership));
         tokio::spawn(async move {
-            let tell = |event| {
+            let send = |event| {
                 let (control, leadership) = (control.clone(), Arc::clone(&leadership));
                 async move {
                     let holds = matches!(leadership.current(), Leadership::Local);
-                    let event = ControlEvent::Done { term, event };
+                    let event = ControlEvent::ActionCompleted { term, event };
                     holds && control.send(event).await.is_ok()
                 }
             };
-            read_history(&store, &group, tell).await;
+            read_history(&store, &group, send).await;
         });
     }
 
     async fn hand_back(&self, candidate: &mut Candidate, takeover: &mut Takeover) {
-        candidate.abstain(now_ms());
+        candidate.back_off(now_ms());
         let batch = Candidate::hand_back(takeover);
         let outcome = self.platform.store().commit(&self.group, batch).await;
         // Without an answer the claim lapses by its standstill.
-        log::info!(term = takeover.row.term, outcome = outcome.word(); "claim handed back");
+        log::info!(term = takeover.row.term, outcome = outcome.label(); "claim handed back");
     }
 
     /// Renews a claim; returns whether that is confirmed.
@@ -182,12 +182,12 @@
     async fn read_configuration(&self) {
         let configuration = self.front.configuration();
         let since_ms = now_ms();
-        let patience = Duration::from_millis(self.settings.config_apply_ms / 2);
+        let wait_budget = Duration::from_millis(self.settings.config_apply_ms / 2);
         let own = async {
             let read = self.platform.store().read_configuration(None).await;
             match read {
                 Ok(ConfigurationReading::Changed { table, .. }) => {
-                    configuration.put(Arc::new(table), since_ms);
+                    configuration.put_in_force(Arc::new(table), since_ms);
                 }
                 // The reader says why, and tries again.
                 Ok(_) | Err(_) => std::future::pending().await,
@@ -195,7 +195,7 @@
         };
         let read = tokio::select! {
             () = own => true,
-            read = configuration.until_heard_since(since_ms, patience) => read,
+            read = configuration.wait_for_answer_since(since_ms, wait_budget) => read,
         };
         if !read {
             log::warn!(
@@ -207,14 +207,14 @@
 }
 
 /// Says how far a reading of the rows has come.
-fn say_progress(takeover: &Takeover, progress: &Progress, began_ms: u64) {
+fn report_progress(takeover: &Takeover, progress: &Progress, began_ms: u64) {
     let counts = progress.counts();
     let took_ms = now_ms().saturating_sub(began_ms);
     metrics::gauge!("chervilfall_recovery_rows").set(counts.rows as f64);
     metrics::gauge!("chervilfall_recovery_bytes").set(counts.bytes as f64);
     metrics::gauge!("chervilfall_recovery_seconds").set(took_ms as f64 / 1_000.0);
     log::info!(
-        term = takeover.row.term, rows = counts.rows, bytes = counts.bytes, missed = counts.missed, took_ms = took_ms;
+        term = takeover.row.term, rows = counts.rows, bytes = counts.bytes, missed = counts.failed_pages, took_ms = took_ms;
         "group's rows are read"
     );
 }
--- a/crates/chervilfall_node/tests/authority.rs
+++ b/crates/chervilfall_node/tests/authority.rs
@@ -134,7 +134,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_is_good_for_as_long_as_its_reading() {
+async fn a_key_is_accepted_while_its_reading_is_recent() {
     struct Case {
         name: &'static str,
         strict: bool,
--- a/crates/chervilfall_node/tests/load.rs
+++ b/crates/chervilfall_node/tests/load.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_status_says_how_near_the_thread_is_to_its_limit() {
+fn the_status_reports_the_load_of_the_thread() {
     struct Case {
         name: &'static str,
         work: Vec<Work>,
@@ -39,8 +39,8 @@
                 busy_percent: 0,
                 events: 0,
                 most_waiting: 0,
-                oldest_ms: 0,
-                longest_ms: 0,
+                max_queue_age_ms: 0,
+                max_stretch_ms: 0,
             }),
         },
         Case {
@@ -52,8 +52,8 @@
                 busy_percent: 96,
                 events: 512,
                 most_waiting: 900,
-                oldest_ms: 350,
-                longest_ms: 640,
+                max_queue_age_ms: 350,
+                max_stretch_ms: 640,
             }),
         },
     ];
@@ -64,7 +64,7 @@
             load.add(work);
         }
         for age_ms in case.probe_ages_ms {
-            load.probed(Duration::from_millis(age_ms));
+            load.record_queue_age(Duration::from_millis(age_ms));
         }
         let now = began + Duration::from_millis(case.passed_ms);
         assert_eq!(load.status(now), case.status, "{}", case.name);
--- a/crates/chervilfall_node/tests/settings.rs
+++ b/crates/chervilfall_node/tests/settings.rs
@@ -12,68 +12,68 @@
         name: &'static str,
         more: &'static str,
         without: &'static str,
-        says: &'static str,
+        expected: &'static str,
     }
     let cases = [
         Case {
             name: "no address",
             more: "",
             without: "store: 127.0.0.1:4\n",
-            says: "missing field `store`",
+            expected: "missing field `store`",
         },
         Case {
             name: "an address that is none",
             more: "advice: nowhere\n",
             without: "",
-            says: "advice",
+            expected: "advice",
         },
         Case {
             name: "an unknown field",
             more: "stroe: 1\n",
             without: "",
-            says: "stroe",
+            expected: "stroe",
         },
         Case {
             name: "silence too short",
             more: "timings:\n  silence_ms: 200\n",
             without: "",
-            says: "timings.silence_ms",
+            expected: "timings.silence_ms",
         },
         Case {
             name: "no ticks",
             more: "timings:\n  tick_ms: 0\n",
             without: "",
-            says: "timings.tick_ms",
+            expected: "timings.tick_ms",
         },
         Case {
             name: "notice of capacity shorter than two readings of the list",
             more: "capacity_notice_ms: 900\n",
             without: "",
-            says: "capacity_notice_ms",
+            expected: "capacity_notice_ms",
         },
         Case {
             name: "configurations in force at once",
             more: "config_apply_ms: 100\n",
             without: "",
-            says: "config_apply_ms",
+            expected: "config_apply_ms",
         },
         Case {
             name: "endpoints left sooner than two readings of the list",
             more: "drain_ms: 900\n",
             without: "",
-            says: "drain_ms",
+            expected: "drain_ms",
         },
         Case {
             name: "no processor",
             more: "cpu_cores: 0\n",
             without: "",
-            says: "cpu_cores",
+            expected: "cpu_cores",
         },
         Case {
             name: "no name",
             more: "node: ''\n",
             without: "node: n1\n",
-            says: "node",
+            expected: "node",
         },
     ];
     assert!(Settings::parse("good", GOOD).is_ok());
@@ -82,7 +82,7 @@
         let error = Settings::parse("bad", &text)
             .expect_err(case.name)
             .to_string();
-        assert!(error.contains(case.says), "{}: {error}", case.name);
+        assert!(error.contains(case.expected), "{}: {error}", case.name);
     }
 }
 
--- a/crates/chervilfall_planner/src/account.rs
+++ b/crates/chervilfall_planner/src/account.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// Name of a client account.
 pub type AccountName = String;
@@ -15,5 +15,5 @@
     /// Jobs a second that are its share when all endpoints are in use; 0 for no bound.
     pub weight: f64,
     /// Most that its tasks may take at the same time; 0 for no limit.
-    pub quota: Room,
+    pub quota: Resources,
 }
--- a/crates/chervilfall_planner/src/advice.rs
+++ b/crates/chervilfall_planner/src/advice.rs
@@ -43,7 +43,7 @@
         Some(slot.or_default())
     }
 
-    pub(crate) fn learn(&mut self, endpoint: EndpointKey, permission: Permission) {
+    pub(crate) fn record_permission(&mut self, endpoint: EndpointKey, permission: Permission) {
         if let Permission::Granted(_, valid_until_ms) = &permission {
             self.valid_until_ms = self.valid_until_ms.max(*valid_until_ms);
         }
@@ -73,17 +73,17 @@
     }
 
     /// Returns the number of calls on their way.
-    pub(crate) fn calls(&self) -> usize {
+    pub(crate) fn calls_in_flight(&self) -> usize {
         self.asking.len()
     }
 
     /// Returns the number of endpoints that calls on their way name.
-    pub(crate) fn asked(&self) -> usize {
+    pub(crate) fn endpoints_in_calls(&self) -> usize {
         self.asking.values().map(Vec::len).sum()
     }
 
     /// Returns whether neither an answer nor a call on its way says anything of the endpoint.
-    pub(crate) fn is_open(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn is_unasked(&self, endpoint: EndpointKey) -> bool {
         let entry = self.entries.get(endpoint);
         entry.is_none_or(|entry| entry.permission.is_none() && !entry.asking)
     }
@@ -120,7 +120,7 @@
     }
 
     /// Forgets a ticket that an endpoint has refused.
-    pub(crate) fn spoil(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn invalidate_ticket(&mut self, endpoint: EndpointKey) {
         let entry = self.entries.get_mut(endpoint);
         let permission = entry.and_then(|entry| entry.permission.as_mut());
         if let Some(Permission::Granted(_, valid_until_ms)) = permission {
--- a/crates/chervilfall_planner/src/commit.rs
+++ b/crates/chervilfall_planner/src/commit.rs
@@ -57,7 +57,7 @@
 impl CommitOutcome {
     /// Returns a word for logs.
     #[must_use]
-    pub const fn word(&self) -> &'static str {
+    pub const fn label(&self) -> &'static str {
         match self {
             Self::Stored { .. } => "stored",
             Self::Conflict(_) => "conflict",
--- a/crates/chervilfall_planner/src/config.rs
+++ b/crates/chervilfall_planner/src/config.rs
@@ -19,7 +19,7 @@
 
 /// How long it takes to ask which endpoints may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct AdviceTerms {
+pub struct AdviceTimings {
     /// Time for a call.
     pub decide_ms: f64,
     /// Additional time for each endpoint that a call names.
@@ -28,7 +28,7 @@
     pub valid_ms: u64,
 }
 
-impl AdviceTerms {
+impl AdviceTimings {
     /// Returns how long a call that names `endpoints` takes.
     #[must_use]
     pub fn call_ms(&self, endpoints: usize) -> Millis {
@@ -65,7 +65,7 @@
     /// Constant part of a job's objective.
     pub target_latency_ms: u64,
     /// Set if a start needs a ticket of the advice service.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<AdviceTimings>,
     /// Version of the configuration in which the queue stands so; 0 in rows and requests that do not tell.
     #[serde(default)]
     pub configuration: u64,
@@ -95,13 +95,13 @@
 
 impl Configuration {
     /// Returns whether the endpoints of a service refuse what exceeds their capacity.
-    pub(crate) fn guards_capacity(&self, service: &str) -> bool {
+    pub(crate) fn enforces_capacity(&self, service: &str) -> bool {
         let service = self.services.get(service);
         service.is_some_and(|service| service.enforces_capacity)
     }
 
     /// Returns whether a service stands in the configuration; all do while none is known.
-    pub(crate) fn names(&self, service: &str) -> bool {
+    pub(crate) fn has_service(&self, service: &str) -> bool {
         self.services.is_empty() || self.services.contains_key(service)
     }
 }
--- a/crates/chervilfall_planner/src/election.rs
+++ b/crates/chervilfall_planner/src/election.rs
@@ -19,7 +19,7 @@
 /// longer than such a machine takes for all of it.
 const OUTRANKED_MS: Millis = 1_000;
 /// How long a larger holder is remembered that may come back.
-pub(crate) const REMEMBERED_MS: Millis = 30_000;
+pub(crate) const LARGEST_RETENTION_MS: Millis = 30_000;
 /// How long a node leaves the claim to others after it has handed it back because it could not read the rows.
 const ABSTENTION_MS: Millis = 2_000;
 /// A machine with this share defers to nobody while there is no holder yet; below half of it, it does.
@@ -97,7 +97,7 @@
 
 /// What a candidate should do.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CandidateMove {
+pub enum CandidateAction {
     /// Follow this holder; if its row stands still for `claim_in_ms` more, it can be claimed.
     Follow {
         /// The claim row.
@@ -113,21 +113,21 @@
 
 /// How long the row must stand still before it is claimed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Stall {
+pub struct StallTimeouts {
     /// While the holder has not said how long.
-    pub unsaid_ms: Millis,
+    pub unreported_ms: Millis,
     /// Instead, if the holder's address refuses connections: its process is gone.
     pub refused_ms: Millis,
     /// Added because the store is slow to answer, and so to take the holder's commits.
     pub slow_ms: Millis,
 }
 
-impl Stall {
+impl StallTimeouts {
     /// Returns the standstill after which a holder is taken for lost.
     fn of(&self, holder: &HolderRow, refused: bool) -> Millis {
         let still_ms = match holder.standstill_ms {
             _ if refused => self.refused_ms,
-            0 => self.unsaid_ms,
+            0 => self.unreported_ms,
             said_ms => said_ms,
         };
         still_ms + self.slow_ms
@@ -228,7 +228,7 @@
     }
 
     /// Leaves the claim to others for a while: this node has handed it back.
-    pub fn abstain(&mut self, now: Millis) {
+    pub fn back_off(&mut self, now: Millis) {
         self.abstains_until_ms = now + ABSTENTION_MS;
     }
 
@@ -236,7 +236,7 @@
     fn largest_permille(&mut self, now: Millis, holder: &HolderRow) -> u64 {
         let seen = holder.cpu_permille.max(holder.wanted_permille);
         let known = self.largest.filter(|(permille, seen_ms)| {
-            *permille > seen && now.saturating_sub(*seen_ms) < REMEMBERED_MS
+            *permille > seen && now.saturating_sub(*seen_ms) < LARGEST_RETENTION_MS
         });
         let largest = known.unwrap_or((seen, now));
         self.largest = Some(largest);
@@ -245,14 +245,14 @@
 
     /// Returns whether a holder that still reads its rows can be replaced by this node, which reads them sooner. Machines
     /// can follow each other so only while each has twice the processor of the one before.
-    fn outranks(&self, now: Millis, holder: &HolderRow) -> bool {
+    fn is_preferred_over(&self, now: Millis, holder: &HolderRow) -> bool {
         let since_ms = self.term.map_or(now, |(_, since_ms)| since_ms);
         let larger = self.identity.cpu_permille >= 2 * holder.cpu_permille;
         holder.recovering && larger && now.saturating_sub(since_ms) >= OUTRANKED_MS
     }
 
     /// Notes that the address of a holder has refused a connection.
-    pub fn refused_by(&mut self, now: Millis, holder: &HolderRow) {
+    pub fn record_refused_connection(&mut self, now: Millis, holder: &HolderRow) {
         self.refused = Some(RefusedHolder {
             term: holder.term,
             incarnation: holder.incarnation,
@@ -262,7 +262,7 @@
 
     /// Notes that the row could not be read: nobody could renew the claim meanwhile either, so that
     /// its standstill counts from the next reading only.
-    pub fn unreadable(&mut self) {
+    pub fn record_unreadable(&mut self) {
         self.unreadable = true;
     }
 
@@ -276,8 +276,8 @@
         store_ms: Millis,
         version: RowVersion,
         row: Option<HolderRow>,
-        stall: &Stall,
-    ) -> CandidateMove {
+        stall: &StallTimeouts,
+    ) -> CandidateAction {
         if std::mem::take(&mut self.unreadable) {
             self.readable_ms = Some(now);
         }
@@ -297,7 +297,7 @@
             None => {
                 let deference_ms = self.deference_ms(LARGE_PERMILLE);
                 if abstains || now.saturating_sub(first_ms) < deference_ms {
-                    return CandidateMove::Wait;
+                    return CandidateAction::Wait;
                 }
                 self.claim(0, version)
             }
@@ -325,10 +325,10 @@
                     .map_or(Millis::MAX, |at_ms| now.saturating_sub(at_ms));
                 let age_ms = seen_still_ms.max(said_still_ms).min(readable_for_ms);
                 let stalled = age_ms >= stall_ms && deferred;
-                if !abstains && (free || stalled || self.outranks(now, &holder)) {
+                if !abstains && (free || stalled || self.is_preferred_over(now, &holder)) {
                     return self.claim(holder.term, version);
                 }
-                CandidateMove::Follow {
+                CandidateAction::Follow {
                     holder,
                     claim_in_ms: stall_ms.saturating_sub(age_ms),
                 }
@@ -341,7 +341,7 @@
         holder.node == self.identity.node && holder.address == self.identity.address
     }
 
-    fn claim(&self, term: u64, version: RowVersion) -> CandidateMove {
+    fn claim(&self, term: u64, version: RowVersion) -> CandidateAction {
         let row = HolderRow {
             term: term + 1,
             node: self.identity.node.clone(),
@@ -367,7 +367,7 @@
             changes: vec![RowChange::Put(key, row.encode())],
             timeout_ms: CLAIM_TIMEOUT_MS,
         };
-        CandidateMove::Claim(batch, row)
+        CandidateAction::Claim(batch, row)
     }
 
     /// Returns the batch that renews a claim while its holder does not plan yet.
--- a/crates/chervilfall_planner/src/endpoint.rs
+++ b/crates/chervilfall_planner/src/endpoint.rs
@@ -8,11 +8,11 @@
 use crate::ids::{EndpointId, Fence, Millis, RowVersion, TaskKey, UnixMillis};
 use crate::leases::Leases;
 use crate::limits::Limits;
-use crate::placed::{Placed, RunPhase};
-use crate::policy::crashes::NEW_MS;
-use crate::policy::quarantine::{Quarantine, Standing};
+use crate::placed_run::{PlacedRun, RunPhase};
+use crate::policy::crashes::NEW_RUN_MS;
+use crate::policy::quarantine::{Quarantine, QuarantineState};
 use crate::policy::speed::Speed;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::tasks::StepKey;
 
 new_key_type! {
@@ -70,35 +70,35 @@
     /// When what it says of itself was last read anew.
     reported_ms: Millis,
     /// It refuses what exceeds its capacity.
-    pub(crate) guards_capacity: bool,
+    pub(crate) enforces_capacity: bool,
     /// It has answered a hold of this planner, so that older holders are shut out there.
     pub(crate) contacted: bool,
     /// Its last lists could not be read whole, so that runs may be there which nobody knows.
-    pub(crate) obscured: bool,
+    pub(crate) lists_incomplete: bool,
     /// All its leases have lapsed since it was last heard, or its incarnation is over.
-    pub(crate) over: bool,
+    pub(crate) defunct: bool,
     /// When its leases were first found lapsed while it was silent.
     pub(crate) lapsed_ms: Option<Millis>,
-    pub(crate) placed: BTreeMap<TaskKey, Placed>,
-    pub(crate) used: Room,
+    pub(crate) placed: BTreeMap<TaskKey, PlacedRun>,
+    pub(crate) used: Resources,
     /// Runs whose room is not known.
-    unsized_runs: usize,
+    size_unknown_runs: usize,
     /// Runs of jobs whose objective is short.
-    pub(crate) hurried_runs: u32,
+    pub(crate) sensitive_runs: u32,
     /// Runs beside which nothing is started.
-    apart_runs: u32,
+    exclusive_runs: u32,
     /// Step for which it is kept free of other starts, and until when.
     reserved: Option<(StepKey, Millis)>,
     /// Highest end that was taken in.
-    pub(crate) taken_in: u64,
+    pub(crate) last_end_received: u64,
     /// Highest end that is stored.
     pub(crate) acknowledged: u64,
-    pub(crate) heard_ms: Option<Millis>,
+    pub(crate) last_contact_ms: Option<Millis>,
     pub(crate) hold_sent_ms: Option<Millis>,
     /// It ran nothing when it was last heard, so that its next hold was put off: silence counts from that hold.
-    pub(crate) rests: bool,
+    pub(crate) idle: bool,
     /// The last hold was not answered: nothing is granted or started until one is.
-    pub(crate) missed: bool,
+    pub(crate) hold_unanswered: bool,
     pub(crate) next_hold_ms: Millis,
     pub(crate) paused_until_ms: Millis,
     pub(crate) quarantine: Quarantine,
@@ -119,23 +119,23 @@
             rostered: false,
             lapses_store_ms: None,
             reported_ms: 0,
-            guards_capacity: false,
+            enforces_capacity: false,
             contacted: false,
-            obscured: false,
-            over: false,
+            lists_incomplete: false,
+            defunct: false,
             lapsed_ms: None,
             placed: BTreeMap::new(),
-            used: Room::default(),
-            unsized_runs: 0,
-            hurried_runs: 0,
-            apart_runs: 0,
+            used: Resources::default(),
+            size_unknown_runs: 0,
+            sensitive_runs: 0,
+            exclusive_runs: 0,
             reserved: None,
-            taken_in: 0,
+            last_end_received: 0,
             acknowledged: 0,
-            heard_ms: None,
+            last_contact_ms: None,
             hold_sent_ms: None,
-            rests: false,
-            missed: false,
+            idle: false,
+            hold_unanswered: false,
             next_hold_ms: 0,
             paused_until_ms: 0,
             quarantine: Quarantine::default(),
@@ -151,9 +151,9 @@
         next.born_ms = born_ms;
         next.fence = None;
         next.earlier_fence = Some(before.fence.or(before.earlier_fence).unwrap_or(0));
-        next.guards_capacity = before.guards_capacity;
-        next.draining = next.entry_is_own() && next.entry.draining;
-        if next.entry_is_own() {
+        next.enforces_capacity = before.enforces_capacity;
+        next.draining = next.entry_is_of_incarnation() && next.entry.draining;
+        if next.entry_is_of_incarnation() {
             next.reported_ms = before.reported_ms;
         }
         next
@@ -174,31 +174,31 @@
     }
 
     /// Returns whether lists that say `born_ms` are another incarnation's.
-    pub(crate) fn is_other(&self, born_ms: Option<UnixMillis>) -> bool {
+    pub(crate) fn is_other_incarnation(&self, born_ms: Option<UnixMillis>) -> bool {
         let known = self.born_ms.zip(born_ms);
         known.is_some_and(|(known, seen)| known != seen)
     }
 
     /// Returns whether its entry in the list of endpoints is this incarnation's, as far as it says so.
-    pub(crate) fn entry_is_own(&self) -> bool {
+    pub(crate) fn entry_is_of_incarnation(&self) -> bool {
         self.born_ms.is_none() || self.entry.born_ms == self.born_ms
     }
 
     /// Takes over what its entry says, as read at `read_ms`.
-    pub(crate) fn take_entry(&mut self, read_ms: Millis, entry: EndpointEntry) {
+    pub(crate) fn update_entry(&mut self, read_ms: Millis, entry: EndpointEntry) {
         let moved_on = (entry.born_ms, entry.report) != (self.entry.born_ms, self.entry.report);
         if moved_on || self.reported_ms == 0 {
             self.reported_ms = read_ms;
         }
         self.entry = entry;
-        if self.entry_is_own() {
+        if self.entry_is_of_incarnation() {
             self.draining = self.entry.draining;
         }
     }
 
     /// Returns whether its capacity is known well enough to start something: it may have shrunk since it last said.
     pub(crate) fn capacity_is_known(&self, now: Millis, limits: &Limits) -> bool {
-        self.guards_capacity || now.saturating_sub(self.reported_ms) <= limits.report_age_ms
+        self.enforces_capacity || now.saturating_sub(self.reported_ms) <= limits.report_age_ms
     }
 
     /// Notes what others may have granted: an earlier holder, or a hold that was meant for the incarnation before and
@@ -215,7 +215,7 @@
     /// Returns the end up to which a hold may acknowledge. One that follows a miss, or an entry of another incarnation,
     /// acknowledges nothing: the next incarnation numbers its ends from 1, and would forget what nobody has seen.
     pub(crate) fn acknowledgeable(&self) -> u64 {
-        if self.missed || !self.entry_is_own() {
+        if self.hold_unanswered || !self.entry_is_of_incarnation() {
             0
         } else {
             self.acknowledged
@@ -224,117 +224,118 @@
 
     /// Returns for how long it has not been heard although it was asked.
     pub(crate) fn silent_for(&self, now: Millis) -> Millis {
-        let asked_ms = if self.rests {
+        let asked_ms = if self.idle {
             self.hold_sent_ms.unwrap_or(now)
         } else {
             0
         };
-        self.heard_ms
+        self.last_contact_ms
             .map_or(Millis::MAX, |heard| now.saturating_sub(heard.max(asked_ms)))
     }
 
     /// Returns for how long it was heard from while a run was known to be there; none if it never answered
     /// about the run.
-    pub(crate) fn heard_with_ms(&self, placed: &Placed) -> Option<Millis> {
+    pub(crate) fn contact_with_run_ms(&self, placed: &PlacedRun) -> Option<Millis> {
         let confirmed_ms = placed.confirmed_ms?;
-        let heard_ms = self.heard_ms.unwrap_or(confirmed_ms);
-        Some(heard_ms.saturating_sub(confirmed_ms))
+        let last_contact_ms = self.last_contact_ms.unwrap_or(confirmed_ms);
+        Some(last_contact_ms.saturating_sub(confirmed_ms))
     }
 
     /// Returns when the next hold is due that may wait for ends to gather: at once if a stop's end is
     /// awaited, because that is what its room waits for.
-    pub(crate) fn gathered_ms(&self, now: Millis, limits: &Limits) -> Millis {
+    pub(crate) fn batched_hold_due_ms(&self, now: Millis, limits: &Limits) -> Millis {
         let mut placed = self.placed.values();
         if placed.any(|placed| matches!(placed.phase, RunPhase::Stopping { .. })) {
             return now;
         }
-        let gap_ms = if self.hurried_runs > 0 {
-            limits.hurried_hold_gap_ms
+        let gap_ms = if self.sensitive_runs > 0 {
+            limits.sensitive_hold_gap_ms
         } else {
             limits.hold_gap_ms
         };
-        self.heard_ms.map_or(now, |heard| now.max(heard + gap_ms))
+        self.last_contact_ms
+            .map_or(now, |heard| now.max(heard + gap_ms))
     }
 
     /// Returns whether it is granted nothing until it answers again.
     pub(crate) fn is_silent(&self, now: Millis, limits: &Limits) -> bool {
-        self.missed || self.silent_for(now) > limits.silent_ms
+        self.hold_unanswered || self.silent_for(now) > limits.silent_ms
     }
 
     /// Returns whether it can be given new work.
-    pub(crate) fn takes_work(&self, now: Millis, limits: &Limits) -> bool {
-        self.reserved_for(now).is_none() && self.takes_reserved_work(now, limits)
+    pub(crate) fn accepts_work(&self, now: Millis, limits: &Limits) -> bool {
+        self.reserved_for(now).is_none() && self.accepts_reserved_work(now, limits)
     }
 
     /// Returns whether it can be given new work of the step that it is kept for.
-    pub(crate) fn takes_reserved_work(&self, now: Millis, limits: &Limits) -> bool {
-        self.apart_runs == 0
+    pub(crate) fn accepts_reserved_work(&self, now: Millis, limits: &Limits) -> bool {
+        self.exclusive_runs == 0
             && self.listed
             && self.rostered
             && self.contacted
-            && !self.obscured
-            && !self.over
-            && self.unsized_runs == 0
-            && self.entry_is_own()
+            && !self.lists_incomplete
+            && !self.defunct
+            && self.size_unknown_runs == 0
+            && self.entry_is_of_incarnation()
             && !self.draining
             && now >= self.paused_until_ms
-            && self.fit(now)
+            && self.passes_quarantine(now)
             && !self.is_silent(now, limits)
             && self.capacity_is_known(now, limits)
     }
 
     /// Returns whether its ends speak for giving it a task.
-    fn fit(&self, now: Millis) -> bool {
-        match self.quarantine.standing(now) {
-            Standing::Sound => true,
-            Standing::Trial => self.placed.is_empty(),
-            Standing::Paused => false,
+    fn passes_quarantine(&self, now: Millis) -> bool {
+        match self.quarantine.state(now) {
+            QuarantineState::Sound => true,
+            QuarantineState::Trial => self.placed.is_empty(),
+            QuarantineState::Paused => false,
         }
     }
 
     /// Returns how many tasks it may be given at once.
-    pub(crate) fn most(&self, now: Millis) -> u32 {
-        match self.quarantine.standing(now) {
-            Standing::Sound => u32::MAX,
-            Standing::Trial | Standing::Paused => 1,
+    pub(crate) fn max_new_tasks(&self, now: Millis) -> u32 {
+        match self.quarantine.state(now) {
+            QuarantineState::Sound => u32::MAX,
+            QuarantineState::Trial | QuarantineState::Paused => 1,
         }
     }
 
-    pub(crate) fn free(&self) -> Room {
-        Room::of_entry(&self.entry).minus(self.used)
+    pub(crate) fn free(&self) -> Resources {
+        Resources::of_entry(&self.entry).minus(self.used)
     }
 
     /// Returns whether there is room for all that has a place there.
-    pub(crate) fn holds_all(&self) -> bool {
-        Room::of_entry(&self.entry).holds(self.used)
+    pub(crate) fn fits_all_runs(&self) -> bool {
+        Resources::of_entry(&self.entry).can_fit(self.used)
     }
 
     /// Puts a run in its books; returns an earlier one of the task that it replaces.
-    pub(crate) fn place(&mut self, task: TaskKey, placed: Placed) -> Option<Placed> {
+    pub(crate) fn place(&mut self, task: TaskKey, placed: PlacedRun) -> Option<PlacedRun> {
         // Ends are listed to holds only.
-        self.next_hold_ms = if self.rests { 0 } else { self.next_hold_ms };
+        self.next_hold_ms = if self.idle { 0 } else { self.next_hold_ms };
         let replaced = self.release(task);
-        self.used = self.used.add(placed.room);
-        self.unsized_runs += usize::from(placed.unsized_run);
-        self.hurried_runs += u32::from(placed.hurried);
-        self.apart_runs += u32::from(placed.apart);
+        self.used = self.used.add(placed.resources);
+        self.size_unknown_runs += usize::from(placed.size_unknown);
+        self.sensitive_runs += u32::from(placed.latency_sensitive);
+        self.exclusive_runs += u32::from(placed.exclusive);
         self.placed.insert(task, placed);
         replaced
     }
 
-    pub(crate) fn release(&mut self, task: TaskKey) -> Option<Placed> {
+    pub(crate) fn release(&mut self, task: TaskKey) -> Option<PlacedRun> {
         let placed = self.placed.remove(&task)?;
-        self.used = self.used.minus(placed.room);
-        self.unsized_runs -= usize::from(placed.unsized_run);
-        self.hurried_runs -= u32::from(placed.hurried);
-        self.apart_runs -= u32::from(placed.apart);
+        self.used = self.used.minus(placed.resources);
+        self.size_unknown_runs -= usize::from(placed.size_unknown);
+        self.sensitive_runs -= u32::from(placed.latency_sensitive);
+        self.exclusive_runs -= u32::from(placed.exclusive);
         Some(placed)
     }
 
     /// Returns whether a run has just begun, as far as the endpoint was heard from.
-    pub(crate) fn is_new(&self, placed: &Placed) -> bool {
-        self.heard_with_ms(placed)
-            .is_none_or(|heard_ms| heard_ms < NEW_MS)
+    pub(crate) fn has_just_begun(&self, placed: &PlacedRun) -> bool {
+        self.contact_with_run_ms(placed)
+            .is_none_or(|last_contact_ms| last_contact_ms < NEW_RUN_MS)
     }
 
     /// Keeps other starts away until then.
--- a/crates/chervilfall_planner/src/event.rs
+++ b/crates/chervilfall_planner/src/event.rs
@@ -11,7 +11,7 @@
 use crate::endpoint::{EndpointEntry, EndpointKey};
 use crate::ids::{EndpointId, JobId, Millis, Run, TaskKey, UnixMillis};
 use crate::job::JobSpec;
-use crate::planner::Look;
+use crate::planner::LookupResult;
 use crate::record::ProgressRow;
 use crate::starts::StartNote;
 
@@ -129,7 +129,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum EndReason {
     /// It completed.
     Done,
     /// It failed.
@@ -165,7 +165,7 @@
     /// The start.
     pub run: Run,
     /// How it ended.
-    pub how: How,
+    pub how: EndReason,
     /// Newest checkpoint, empty for none.
     pub checkpoint: String,
 }
@@ -299,7 +299,7 @@
         /// The job.
         id: JobId,
         /// What was found.
-        look: Look,
+        look: LookupResult,
     },
     /// Time has passed.
     Tick {
--- a/crates/chervilfall_planner/src/lib.rs
+++ b/crates/chervilfall_planner/src/lib.rs
@@ -16,12 +16,12 @@
 mod job;
 mod leases;
 mod limits;
-mod meters;
-mod placed;
+mod metrics;
+mod placed_run;
 mod planner;
 mod policy;
 mod record;
-mod room;
+mod resources;
 mod starts;
 mod tasks;
 
@@ -31,23 +31,23 @@
     StopOrder,
 };
 pub use commit::{Batch, CommitOutcome, RowChange, RowKey};
-pub use config::{AdviceTerms, Configuration, Queue, QueueName, Service, ServiceName};
-pub use election::{Candidate, CandidateMove, HolderRow, Identity, Stall, Takeover};
+pub use config::{AdviceTimings, Configuration, Queue, QueueName, Service, ServiceName};
+pub use election::{Candidate, CandidateAction, HolderRow, Identity, StallTimeouts, Takeover};
 pub use endpoint::{EndpointEntry, EndpointKey};
 pub use event::{
-    AdviceAnswer, Asker, EndedRun, Event, HoldAnswer, HoldReport, How, NodeId, Refusal, Request,
-    RunningRun, StartAnswer, StopAnswer, Ticket,
+    AdviceAnswer, Asker, EndReason, EndedRun, Event, HoldAnswer, HoldReport, NodeId, Refusal,
+    Request, RunningRun, StartAnswer, StopAnswer, Ticket,
 };
 pub use ids::{
     EndpointId, Fence, InvalidJobId, JobId, Millis, RowVersion, Run, TaskKey, UnixMillis,
 };
 pub use job::{JobSpec, Step};
 pub use limits::Limits;
-pub use planner::{Backlog, Look, Planner, Stored};
+pub use planner::{Backlog, LookupResult, Planner, StoredGroup};
 pub use policy::switches::Policies;
 pub use record::{
     decode_text, JobRow, ProgressRow, RecordError, RosterEntry, CLAIMS, ENDED, HOLDER, JOBS,
     PROGRESS, ROSTER, TEXTS,
 };
-pub use room::Room;
+pub use resources::Resources;
 pub use starts::{StartNote, StartsRow, STARTS};
--- a/crates/chervilfall_planner/src/limits.rs
+++ b/crates/chervilfall_planner/src/limits.rs
@@ -47,7 +47,7 @@
     pub hold_gap_ms: Millis,
     /// The same while hurried work runs there: on 350 endpoints a short request spends 0.1 s beside its run at the
     /// median, and a wait for others' ends can double that.
-    pub hurried_hold_gap_ms: Millis,
+    pub sensitive_hold_gap_ms: Millis,
     /// Most holds of endpoints that have not answered this holder yet, on their way for less than `first_hold_ms`. A new holder
     /// of a large fleet is kept from renewing its claim by answers that come all together.
     pub first_holds: usize,
@@ -57,9 +57,9 @@
     pub first_hold_ms: Millis,
     /// Longest pause before an endpoint that runs nothing is held again. There is nothing to hear from it, and on a large fleet
     /// the holds of all such endpoints keep the holder's processor from callers' work.
-    pub rest_ms: Millis,
+    pub max_idle_hold_interval_ms: Millis,
     /// Endpoints for which the pause is a millisecond: on a small fleet it is short, as lost endpoints are found by holds.
-    pub rest_endpoints: usize,
+    pub idle_endpoints_per_ms: usize,
     /// Pause before a hold that follows an unanswered one.
     pub hold_retry_ms: Millis,
     /// An endpoint that has not answered for this long gets no starts and no longer leases: it has
@@ -86,7 +86,7 @@
     pub pass_ms: Millis,
     /// Most jobs that are remembered because they were cancelled before they came, so that strangers cannot fill
     /// the store: 2,000 small rows, an estimate of far more than come in a wave of cancels.
-    pub awaited_jobs: usize,
+    pub max_pre_cancelled_jobs: usize,
     /// Most bytes of a row.
     pub row_bytes: usize,
     /// Policies in force.
@@ -95,14 +95,14 @@
 
 impl Limits {
     /// Returns the pause before an endpoint that runs nothing is held again, on a fleet of so many.
-    pub(crate) fn rest_of(&self, endpoints: usize) -> Millis {
-        let pause_ms = endpoints / self.rest_endpoints.max(1);
-        self.rest_ms.min(pause_ms as Millis)
+    pub(crate) fn idle_hold_interval_ms(&self, endpoints: usize) -> Millis {
+        let pause_ms = endpoints / self.idle_endpoints_per_ms.max(1);
+        self.max_idle_hold_interval_ms.min(pause_ms as Millis)
     }
 
     /// Returns when an endpoint was heard whose answer to a hold has come: now, or when the hold was sent if the answer
     /// has lain here since, because this holder stood still. Another incarnation may be there by now.
-    pub(crate) const fn heard_ms(&self, now: Millis, sent_ms: Millis) -> Millis {
+    pub(crate) const fn last_contact_ms(&self, now: Millis, sent_ms: Millis) -> Millis {
         if now.saturating_sub(sent_ms) > self.hold_wait_ms + self.hold_answer_ms {
             sent_ms
         } else {
@@ -131,12 +131,12 @@
             hold_wait_ms: 600,
             hold_answer_ms: 350,
             hold_gap_ms: 100,
-            hurried_hold_gap_ms: 10,
+            sensitive_hold_gap_ms: 10,
             first_holds: 128,
             repeated_holds: 32,
             first_hold_ms: 100,
-            rest_ms: 1_500,
-            rest_endpoints: 2,
+            max_idle_hold_interval_ms: 1_500,
+            idle_endpoints_per_ms: 2,
             hold_retry_ms: 200,
             silent_ms: 950,
             report_age_ms: 3_800,
@@ -148,7 +148,7 @@
             advice_slack_ms: 600,
             status_ms: 150_000,
             pass_ms: 50,
-            awaited_jobs: 2_000,
+            max_pre_cancelled_jobs: 2_000,
             row_bytes: 65_536,
             policies: Policies::default(),
         }
--- a/crates/chervilfall_planner/src/meters.rs
+++ b/crates/chervilfall_planner/src/metrics.rs
@@ -2,9 +2,9 @@
 
 use metrics::{counter, gauge, histogram};
 
-use crate::event::{How, Refusal};
+use crate::event::{EndReason, Refusal};
 use crate::ids::Millis;
-use crate::placed::LossReason;
+use crate::placed_run::LossReason;
 
 fn seconds(ms: Millis) -> f64 {
     ms as f64 / 1_000.0
@@ -34,7 +34,7 @@
 }
 
 /// Accounts that metrics show at most: each is a series of its own.
-pub(crate) const MOST_ACCOUNTS: usize = 256;
+pub(crate) const MAX_ACCOUNTS: usize = 256;
 
 /// Shows what an account uses of the endpoints, and may use.
 pub(crate) fn account(name: &str, used_cpu_milli: u64, quota_cpu_milli: u64) {
@@ -69,14 +69,14 @@
 }
 
 /// Counts the end of a run.
-pub(crate) fn ended(how: How) {
+pub(crate) fn ended(how: EndReason) {
     let how = match how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
-        How::Broken => "broken",
-        How::Alone => "alone",
+        EndReason::Done => "done",
+        EndReason::Failed => "failed",
+        EndReason::Stopped => "stopped",
+        EndReason::Lapsed => "lapsed",
+        EndReason::Broken => "broken",
+        EndReason::Alone => "alone",
     };
     counter!("chervilfall_runs_ended_total", "how" => how).increment(1);
 }
@@ -98,13 +98,13 @@
 }
 
 /// Counts a run that an endpoint lists neither at work nor among its ends.
-pub(crate) fn not_there() {
+pub(crate) fn run_missing() {
     counter!("chervilfall_runs_not_there_total").increment(1);
 }
 
 /// Counts a run that was lost with its endpoint.
 pub(crate) fn run_lost(reason: LossReason) {
-    counter!("chervilfall_runs_lost_total", "reason" => reason.word()).increment(1);
+    counter!("chervilfall_runs_lost_total", "reason" => reason.label()).increment(1);
 }
 
 /// Counts a job that is given up.
--- a/crates/chervilfall_planner/src/placed.rs
+++ b/crates/chervilfall_planner/src/placed_run.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{Millis, Run};
 use crate::planner::AccountKey;
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// How far a run on an endpoint has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,14 +24,14 @@
 
 /// A run that may be on an endpoint; its room is taken until its end is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Placed {
+pub(crate) struct PlacedRun {
     pub(crate) run: Run,
     pub(crate) phase: RunPhase,
-    pub(crate) room: Room,
+    pub(crate) resources: Resources,
     /// What it counts for, and against which account.
-    pub(crate) charge: Option<(AccountKey, Room)>,
+    pub(crate) charge: Option<(AccountKey, Resources)>,
     /// What it takes is not known, because its job's row is gone: nothing is started beside it.
-    pub(crate) unsized_run: bool,
+    pub(crate) size_unknown: bool,
     /// Copies of the start that were not answered; each may be carried out until its bound.
     pub(crate) unanswered: u32,
     /// It was meant for the incarnation before, and this one has not shown it yet.
@@ -41,9 +41,9 @@
     /// It resumed from a checkpoint, so that its time says little of the task's work.
     pub(crate) resumed: bool,
     /// Its job's objective is short.
-    pub(crate) hurried: bool,
+    pub(crate) latency_sensitive: bool,
     /// It may bring the endpoint down: nothing is started beside it.
-    pub(crate) apart: bool,
+    pub(crate) exclusive: bool,
 }
 
 /// How an endpoint was lost.
@@ -57,7 +57,7 @@
 
 impl LossReason {
     /// Returns a word for logs and metrics.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn label(self) -> &'static str {
         match self {
             Self::Silent => "silent",
             Self::Replaced => "replaced",
--- a/crates/chervilfall_planner/src/planner/accounts.rs
+++ b/crates/chervilfall_planner/src/planner/accounts.rs
@@ -4,10 +4,10 @@
 
 use crate::account::{Account, AccountName};
 use crate::ids::{JobId, Millis, TaskKey};
-use crate::meters;
+use crate::metrics;
 use crate::planner::Planner;
-use crate::policy::share::{Share, Standing};
-use crate::room::Room;
+use crate::policy::share::{Share, ShareAdmission};
+use crate::resources::Resources;
 use crate::tasks::{StepKey, TaskState};
 
 /// Time between metrics of accounts.
@@ -20,12 +20,12 @@
 #[derive(Debug)]
 struct AccountState {
     name: AccountName,
-    quota: Room,
+    quota: Resources,
     share: Share,
     /// What its runs use, those that are being stopped or may be at work among them.
-    used: Room,
+    used: Resources,
     /// What inherited tasks use whose runs may not have been found yet.
-    unseen: Room,
+    unseen: Resources,
 }
 
 /// The accounts that jobs belong to.
@@ -45,10 +45,10 @@
         let key = AccountKey(u32::try_from(self.states.len()).unwrap_or(u32::MAX));
         self.states.push(AccountState {
             name: name.to_owned(),
-            quota: Room::default(),
+            quota: Resources::default(),
             share: Share::new(0.0, now),
-            used: Room::default(),
-            unseen: Room::default(),
+            used: Resources::default(),
+            unseen: Resources::default(),
         });
         self.keys.insert(name.to_owned(), key);
         key
@@ -83,26 +83,26 @@
         &self.state(key).name
     }
 
-    pub(super) fn add(&mut self, key: AccountKey, usage: Room) {
+    pub(super) fn add(&mut self, key: AccountKey, usage: Resources) {
         let state = self.state_mut(key);
         state.used = state.used.add(usage);
     }
 
-    pub(super) fn remove(&mut self, key: AccountKey, usage: Room) {
+    pub(super) fn remove(&mut self, key: AccountKey, usage: Resources) {
         let state = self.state_mut(key);
         state.used = state.used.minus(usage);
     }
 
     /// Returns how many tasks that use `need` each an account may start now.
-    fn room_for(&self, key: AccountKey, need: Room) -> u32 {
+    fn room_for(&self, key: AccountKey, need: Resources) -> u32 {
         let state = self.state(key);
         let used = state.used.add(state.unseen);
-        state.quota.fits_beside(used, need)
+        state.quota.max_fitting_in_quota(used, need)
     }
 
     fn forget_unseen(&mut self) {
         for state in &mut self.states {
-            state.unseen = Room::default();
+            state.unseen = Resources::default();
         }
     }
 
@@ -112,15 +112,15 @@
             return;
         }
         self.shown_ms = now;
-        for state in self.states.iter().take(meters::MOST_ACCOUNTS) {
-            meters::account(&state.name, state.used.cpu_milli, state.quota.cpu_milli);
+        for state in self.states.iter().take(metrics::MAX_ACCOUNTS) {
+            metrics::account(&state.name, state.used.cpu_milli, state.quota.cpu_milli);
         }
     }
 }
 
 impl Planner {
     /// Returns how many tasks of a step its job's account may start now.
-    pub(super) fn quota_room(&self, key: StepKey) -> u32 {
+    pub(super) fn tasks_within_quota(&self, key: StepKey) -> u32 {
         let Some(job) = self.jobs.get(&key.job) else {
             return 0;
         };
@@ -128,18 +128,19 @@
         else {
             return u32::MAX;
         };
-        self.accounts.room_for(account, Room::charged(step))
+        self.accounts
+            .room_for(account, Resources::charged_to_account(step))
     }
 
     /// Returns what a task counts for, and against whom.
-    pub(super) fn charge(&self, task: TaskKey) -> Option<(AccountKey, Room)> {
+    pub(super) fn charge(&self, task: TaskKey) -> Option<(AccountKey, Resources)> {
         let job = self.jobs.get(&task.job)?;
         let step = job.spec.steps.get(task.step as usize)?;
-        Some((job.account?, Room::charged(step)))
+        Some((job.account?, Resources::charged_to_account(step)))
     }
 
     /// Counts inherited tasks as at work while their runs may not have been found yet.
-    pub(super) fn count_unseen(&mut self) {
+    pub(super) fn count_unconfirmed(&mut self) {
         self.accounts.forget_unseen();
         if self.barrier.is_none() {
             return;
@@ -157,34 +158,34 @@
             let Some(step) = job.spec.steps.get(key.step as usize) else {
                 continue;
             };
-            let unseen = Room::charged(step).times(waiting);
+            let unseen = Resources::charged_to_account(step).times(waiting);
             let state = self.accounts.state_mut(account);
             state.unseen = state.unseen.add(unseen);
         }
     }
 
     /// Says what becomes of a job that an account hands in.
-    pub(super) fn standing(&mut self, account: Option<AccountKey>) -> Standing {
+    pub(super) fn admission(&mut self, account: Option<AccountKey>) -> ShareAdmission {
         let Some(account) = account else {
-            return Standing::Within;
+            return ShareAdmission::WithinShare;
         };
-        let standing = self.accounts.state_mut(account).share.take(self.now);
-        if standing == Standing::Beyond {
-            self.accounts.state_mut(account).share.add_beyond();
+        let admission = self.accounts.state_mut(account).share.take(self.now);
+        if admission == ShareAdmission::OverShare {
+            self.accounts.state_mut(account).share.add_over_share_job();
         }
-        standing
+        admission
     }
 
     /// Takes note that a job has ended.
     pub(super) fn end_share(&mut self, id: JobId) {
         let job = self.jobs.get(&id);
         if let Some(account) = job.filter(|job| job.beyond).and_then(|job| job.account) {
-            self.accounts.state_mut(account).share.end_beyond();
+            self.accounts.state_mut(account).share.end_over_share_job();
         }
     }
 
     /// Takes note of an inherited job beyond its account's share.
     pub(super) fn inherit_share(&mut self, account: AccountKey) {
-        self.accounts.state_mut(account).share.add_beyond();
+        self.accounts.state_mut(account).share.add_over_share_job();
     }
 }
--- a/crates/chervilfall_planner/src/planner/advise.rs
+++ b/crates/chervilfall_planner/src/planner/advise.rs
@@ -7,18 +7,18 @@
 
 use crate::action::{Action, AdviceOrder};
 use crate::advice::Permission;
-use crate::config::AdviceTerms;
+use crate::config::AdviceTimings;
 use crate::endpoint::EndpointKey;
 use crate::event::{AdviceAnswer, NodeId};
 use crate::ids::{EndpointId, Millis};
-use crate::meters;
+use crate::metrics;
 use crate::planner::Planner;
 use crate::tasks::StepKey;
 
 /// Part of the nodes that slow calls may use, as a fraction. With a half, wide gangs on 350 endpoints
 /// met their objective in 53 of 320 cases, with three quarters in 121; others lost less than that. The rest is
 /// left for fast calls, which otherwise wait until a slow one has ended.
-const SLOW_NODES: (usize, usize) = (7, 8);
+const SLOW_CALL_NODE_SHARE: (usize, usize) = (7, 8);
 
 /// A call on its way.
 #[derive(Debug)]
@@ -43,21 +43,21 @@
             .map(|(number, _)| *number)
             .collect();
         for number in lost {
-            self.advised(number, AdviceAnswer::Failed);
+            self.handle_advice_answer(number, AdviceAnswer::Failed);
         }
     }
 
     /// Returns whether a node can make a call now.
-    pub(super) fn can_ask(&self, slow: bool) -> bool {
-        self.idle_node(slow).is_some()
+    pub(super) fn can_call_advice(&self, slow: bool) -> bool {
+        self.node_for_call(slow).is_some()
     }
 
     /// Returns a node that can make a call now.
-    fn idle_node(&self, slow: bool) -> Option<NodeId> {
+    fn node_for_call(&self, slow: bool) -> Option<NodeId> {
         let calls = self.advice_calls.values();
         if slow {
             let running = calls.clone().filter(|call| call.slow).count();
-            let most = (self.nodes.len() * SLOW_NODES.0 / SLOW_NODES.1).max(1);
+            let most = (self.nodes.len() * SLOW_CALL_NODE_SHARE.0 / SLOW_CALL_NODE_SHARE.1).max(1);
             if running >= most {
                 return None;
             }
@@ -69,9 +69,14 @@
     }
 
     /// Asks about endpoints for a step, if a node is free.
-    pub(super) fn ask(&mut self, step: StepKey, terms: AdviceTerms, keys: &[EndpointKey]) -> bool {
+    pub(super) fn request_advice(
+        &mut self,
+        step: StepKey,
+        terms: AdviceTimings,
+        keys: &[EndpointKey],
+    ) -> bool {
         let slow = terms.is_slow();
-        let Some(node) = self.idle_node(slow) else {
+        let Some(node) = self.node_for_call(slow) else {
             return false;
         };
         let Some(job) = self.jobs.get_mut(&step.job) else {
@@ -116,23 +121,23 @@
         true
     }
 
-    pub(super) fn check_advice(&mut self) {
+    pub(super) fn expire_advice_calls(&mut self) {
         let late = self
             .advice_calls
             .iter()
             .filter(|(_, call)| self.now >= call.deadline_ms);
         let late: Vec<u64> = late.map(|(number, _)| *number).collect();
         for number in late {
-            self.advised(number, AdviceAnswer::Failed);
+            self.handle_advice_answer(number, AdviceAnswer::Failed);
         }
     }
 
-    pub(super) fn advised(&mut self, number: u64, answer: AdviceAnswer) {
+    pub(super) fn handle_advice_answer(&mut self, number: u64, answer: AdviceAnswer) {
         let Some(call) = self.advice_calls.remove(&number) else {
             return;
         };
         let took_ms = self.now.saturating_sub(call.sent_ms);
-        meters::advice(took_ms, answer != AdviceAnswer::Failed);
+        metrics::advice(took_ms, answer != AdviceAnswer::Failed);
         let Some(job) = self.jobs.get_mut(&call.step.job) else {
             return;
         };
@@ -159,7 +164,7 @@
             self.now + call.valid_ms - self.limits.ticket_margin_ms.min(call.valid_ms);
         for key in call.endpoints.values() {
             if self.endpoints.contains_key(*key) {
-                progress.advice.learn(*key, Permission::Denied);
+                progress.advice.record_permission(*key, Permission::Denied);
             }
         }
         for (id, ticket) in granted {
@@ -167,7 +172,7 @@
             if let Some(key) = key.filter(|key| self.endpoints.contains_key(**key)) {
                 progress
                     .advice
-                    .learn(*key, Permission::Granted(ticket, valid_until_ms));
+                    .record_permission(*key, Permission::Granted(ticket, valid_until_ms));
             }
         }
         self.schedule_due = true;
--- a/crates/chervilfall_planner/src/planner/barrier.rs
+++ b/crates/chervilfall_planner/src/planner/barrier.rs
@@ -50,7 +50,7 @@
 
 impl Planner {
     /// Notes that an endpoint has shown what runs on it, or that its incarnation is over.
-    pub(super) fn pass_barrier(&mut self, endpoint: EndpointKey) {
+    pub(super) fn remove_from_barrier(&mut self, endpoint: EndpointKey) {
         if let Some(barrier) = &mut self.barrier {
             barrier.missing.remove(&endpoint);
         }
--- a/crates/chervilfall_planner/src/planner/commits.rs
+++ b/crates/chervilfall_planner/src/planner/commits.rs
@@ -7,9 +7,9 @@
 use crate::election::HolderRow;
 use crate::endpoint::EndpointKey;
 use crate::ids::{JobId, Millis, RowVersion, Run, TaskKey};
-use crate::meters;
+use crate::metrics;
 use crate::planner::batch::Builder;
-use crate::planner::gap::Resumed;
+use crate::planner::takeover_gap::ServiceMilestone;
 use crate::planner::Planner;
 use crate::record::{
     encode, Owner, RosterBucket, RosterEntry, CLAIMS, ENDED, HOLDER, JOBS, PROGRESS, ROSTER, TEXTS,
@@ -90,7 +90,7 @@
         let row = HolderRow {
             released: releases,
             settled: self.barrier.is_none(),
-            standstill_ms: self.commit_gaps.standstill_ms(),
+            standstill_ms: self.commit_gaps.stall_timeout_ms(),
             written_store_ms: self.store_now_ms(),
             ..self.holder.clone()
         };
@@ -262,7 +262,7 @@
                 if flight.awaited == 0 {
                     flight.next_copy_ms = self.now + self.limits.commit_retry_ms;
                 }
-                log::debug!(number = number, outcome = outcome.word(); "commit not answered with success");
+                log::debug!(number = number, outcome = outcome.label(); "commit not answered with success");
             }
         }
     }
@@ -295,7 +295,7 @@
         if took_ms > SLOW_COMMIT_MS {
             log::warn!(number = flight.batch.number, took_ms = took_ms; "commit was slow");
         }
-        meters::commit(took_ms);
+        metrics::commit(took_ms);
         self.version = version;
         self.start_ring.stored();
         self.covered_from_ms = flight.first_sent_ms;
@@ -311,7 +311,7 @@
         for (key, number) in flight.acknowledgements {
             if let Some(endpoint) = self.endpoints.get_mut(key) {
                 endpoint.acknowledged = endpoint.acknowledged.max(number);
-                endpoint.next_hold_ms = endpoint.gathered_ms(self.now, &self.limits);
+                endpoint.next_hold_ms = endpoint.batched_hold_due_ms(self.now, &self.limits);
             }
         }
         for key in flight.grantable {
@@ -333,7 +333,7 @@
         };
         job.stored = true;
         let submitters = std::mem::take(&mut job.submitters);
-        meters::accepted(self.now.saturating_sub(job.accepted_ms));
+        metrics::accepted(self.now.saturating_sub(job.accepted_ms));
         log::info!(
             job:% = id, queue = job.queue.name.as_str(), service = job.queue.service.as_str(),
             configuration = self.config.version, steps = job.spec.steps.len(), waited_ms = self.now.saturating_sub(job.accepted_ms);
@@ -342,7 +342,7 @@
         for to in submitters {
             self.reply(to, Answer::Accepted);
         }
-        self.resumed(Resumed::Accepted);
+        self.record_resumption(ServiceMilestone::Accepted);
         self.activate(id);
     }
 
@@ -350,7 +350,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        job.shown = outcome;
+        job.visible_outcome = outcome;
         if !cancelled {
             return;
         }
@@ -361,7 +361,7 @@
                 answer: Answer::Accepted,
             });
         }
-        let answer = if job.awaited {
+        let answer = if job.pre_cancelled {
             Answer::Unknown
         } else {
             Answer::Cancelled
--- a/crates/chervilfall_planner/src/planner/crashes.rs
+++ b/crates/chervilfall_planner/src/planner/crashes.rs
@@ -5,20 +5,22 @@
 use crate::endpoint::{Endpoint, EndpointKey};
 use crate::event::HoldReport;
 use crate::ids::{EndpointId, JobId, Millis, Run, TaskKey, UnixMillis};
-use crate::meters;
-use crate::placed::{LossReason, RunPhase};
+use crate::metrics;
+use crate::placed_run::{LossReason, RunPhase};
 use crate::planner::Planner;
-use crate::policy::crashes::{verdict, Exposure, Fate, Verdict, LIVED_MS, NEW_MS};
+use crate::policy::crashes::{
+    verdict, Exposure, ExposureState, Verdict, CLEARED_AFTER_MS, NEW_RUN_MS,
+};
 use crate::starts::StartNote;
 use crate::tasks::{Task, TaskState};
 
 /// How long an address is kept in mind at which an endpoint has crashed: some rounds of a machine that goes down and
 /// up by turns. Suspects are started elsewhere if they can, so that a bad machine speaks against no task.
-const CRASHED_ADDRESS_MS: Millis = 60_000;
+const CRASHED_ADDRESS_RETENTION_MS: Millis = 60_000;
 
 impl Planner {
     /// Notes what a lost endpoint says of the runs that were there.
-    pub(super) fn note_lost_runs(&mut self, key: EndpointKey, reason: LossReason) {
+    pub(super) fn record_lost_runs(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
@@ -28,21 +30,22 @@
         }
         let (id, born_ms) = (endpoint.entry.id.clone(), endpoint.born_ms);
         for (task, exposure) in lost_runs(endpoint) {
-            self.expose(task, exposure);
+            self.record_exposure(task, exposure);
         }
         if reason == LossReason::Replaced {
-            self.endpoint_gone(&id, born_ms, false);
+            self.record_gone_endpoint(&id, born_ms, false);
         }
     }
 
     /// Notes a run of a task that is not over yet; an earlier note of the run is replaced.
-    fn expose(&mut self, task: TaskKey, exposure: Exposure) {
+    fn record_exposure(&mut self, task: TaskKey, exposure: Exposure) {
         let id = exposure.endpoint.clone();
-        let Some(entry) = self.exposed_task(task) else {
+        let Some(entry) = self.unfinished_task(task) else {
             return;
         };
         let same = |seen: &Exposure| {
-            seen.run == exposure.run && seen.is_to(&exposure.endpoint, exposure.born_ms)
+            seen.run == exposure.run
+                && seen.matches_incarnation(&exposure.endpoint, exposure.born_ms)
         };
         entry.exposures.retain(|seen| !same(seen));
         entry.exposures.push(exposure);
@@ -60,13 +63,13 @@
 
     /// Takes in what an earlier holder has started without being able to store it. It was cut off then, so that what it
     /// started may be gone together with its endpoint.
-    pub(super) fn take_unstored_starts(&mut self, starts: Vec<StartNote>) {
+    pub(super) fn record_unstored_starts(&mut self, starts: Vec<StartNote>) {
         for note in starts {
             let key = self.endpoint_keys.get(&note.endpoint);
             let endpoint = key.and_then(|key| self.endpoints.get(*key));
             let answers = endpoint.is_some_and(|seen| {
                 let there = seen.contacted && !seen.is_silent(self.now, &self.limits);
-                there && !seen.is_other(note.born_ms)
+                there && !seen.is_other_incarnation(note.born_ms)
             });
             if !answers && self.expose_earlier_start(&note) {
                 log::info!(task:% = note.task(), run = note.run, endpoint:% = note.endpoint; "earlier holder tells of a start");
@@ -83,7 +86,7 @@
             // Its row tells of steps only of which something is known.
             job.occurrence(task.occurrence);
         }
-        let Some(entry) = self.exposed_task(task) else {
+        let Some(entry) = self.unfinished_task(task) else {
             return false;
         };
         if entry.failed.contains(&run) || entry.exposures.iter().any(|seen| seen.run == run) {
@@ -93,7 +96,7 @@
             run,
             endpoint: note.endpoint.clone(),
             born_ms: note.born_ms,
-            fate: Fate::Lost,
+            fate: ExposureState::Lost,
             new: true,
             // What else was there is not known.
             alone: false,
@@ -105,30 +108,30 @@
     }
 
     /// Notes, ahead of its start, that a run of a suspect may be at work.
-    pub(super) fn expose_start(&mut self, task: TaskKey, run: Run, endpoint: &EndpointId) {
+    pub(super) fn record_planned_start(&mut self, task: TaskKey, run: Run, endpoint: &EndpointId) {
         let key = self.endpoint_keys.get(endpoint);
         let there = key.and_then(|key| self.endpoints.get(*key));
         let at_work = Exposure {
             run,
             endpoint: endpoint.clone(),
             born_ms: there.and_then(|there| there.born_ms),
-            fate: Fate::AtWork,
+            fate: ExposureState::AtWork,
             new: true,
-            alone: self.is_apart(task.job, endpoint),
+            alone: self.runs_exclusively(task.job, endpoint),
             answered: false,
         };
-        self.expose(task, at_work);
+        self.record_exposure(task, at_work);
     }
 
     /// Returns whether nothing of other jobs has a place on an endpoint.
-    fn is_apart(&self, job: JobId, endpoint: &EndpointId) -> bool {
+    fn runs_exclusively(&self, job: JobId, endpoint: &EndpointId) -> bool {
         let key = self.endpoint_keys.get(endpoint);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
         endpoint.is_some_and(|endpoint| endpoint.placed.keys().all(|there| there.job == job))
     }
 
     /// Returns a task, unless it is done or its job is over.
-    fn exposed_task(&mut self, task: TaskKey) -> Option<&mut Task> {
+    fn unfinished_task(&mut self, task: TaskKey) -> Option<&mut Task> {
         let job = self.jobs.get_mut(&task.job)?;
         if job.outcome.is_some() {
             return None;
@@ -152,8 +155,8 @@
         };
         for (task, entry) in job.tasks_mut() {
             for exposure in &mut entry.exposures {
-                if exposure.fate == Fate::AtWork {
-                    exposure.fate = Fate::Lost;
+                if exposure.fate == ExposureState::AtWork {
+                    exposure.fate = ExposureState::Lost;
                 }
                 let tasks = self.exposed.entry(exposure.endpoint.clone()).or_default();
                 tasks.insert(task);
@@ -176,7 +179,7 @@
 
     /// Takes back what was held against tasks because of an endpoint that answers: that incarnation has not crashed, and
     /// those before it under its name have.
-    pub(super) fn note_alive(&mut self, key: EndpointKey, report: &HoldReport) {
+    pub(super) fn settle_live_endpoint(&mut self, key: EndpointKey, report: &HoldReport) {
         if self.exposed.is_empty() {
             return;
         }
@@ -190,22 +193,22 @@
         for task in tasks.clone() {
             let running = report.running.iter().filter(|run| run.task == task);
             let running: BTreeSet<Run> = running.map(|run| run.run).collect();
-            let Some(entry) = self.exposed_task(task) else {
-                self.forget_exposed(&id, task);
+            let Some(entry) = self.unfinished_task(task) else {
+                self.remove_exposed_task(&id, task);
                 continue;
             };
             let before = entry.exposures.len();
             let mut crashed = false;
             entry.exposures.retain_mut(|seen| {
-                if seen.endpoint != id || seen.fate == Fate::AtWork {
+                if seen.endpoint != id || seen.fate == ExposureState::AtWork {
                     return true;
                 }
-                if !seen.is_to(&id, born_ms) {
-                    crashed |= seen.fate == Fate::Lost;
-                    seen.fate = Fate::Crashed;
+                if !seen.matches_incarnation(&id, born_ms) {
+                    crashed |= seen.fate == ExposureState::Lost;
+                    seen.fate = ExposureState::Crashed;
                     return true;
                 }
-                seen.fate = Fate::AtWork;
+                seen.fate = ExposureState::AtWork;
                 running.contains(&seen.run)
             });
             let exposed = entry.exposures.iter().any(|seen| seen.endpoint == id);
@@ -214,16 +217,16 @@
                 self.unsaved.progress.insert(task.job);
             }
             if !exposed {
-                self.forget_exposed(&id, task);
+                self.remove_exposed_task(&id, task);
             }
             if crashed {
                 self.unsaved.progress.insert(task.job);
-                self.judge(task, &id);
+                self.apply_verdict(task, &id);
             }
         }
     }
 
-    fn forget_exposed(&mut self, id: &EndpointId, task: TaskKey) {
+    fn remove_exposed_task(&mut self, id: &EndpointId, task: TaskKey) {
         if let Some(tasks) = self.exposed.get_mut(id) {
             tasks.remove(&task);
             if tasks.is_empty() {
@@ -233,7 +236,7 @@
     }
 
     /// Notes that an incarnation is gone: it has crashed, unless it was asked to leave.
-    pub(super) fn endpoint_gone(
+    pub(super) fn record_gone_endpoint(
         &mut self,
         id: &EndpointId,
         born_ms: Option<UnixMillis>,
@@ -250,28 +253,33 @@
             return;
         };
         for task in tasks {
-            let Some(entry) = self.exposed_task(task) else {
-                self.forget_exposed(id, task);
+            let Some(entry) = self.unfinished_task(task) else {
+                self.remove_exposed_task(id, task);
                 continue;
             };
             let mut changed = false;
             for seen in &mut entry.exposures {
-                if seen.is_to(id, born_ms) && seen.fate == Fate::Lost && !draining {
-                    seen.fate = Fate::Crashed;
+                if seen.matches_incarnation(id, born_ms)
+                    && seen.fate == ExposureState::Lost
+                    && !draining
+                {
+                    seen.fate = ExposureState::Crashed;
                     changed = true;
                 }
             }
             if draining {
                 let before = entry.exposures.len();
-                entry.exposures.retain(|seen| !seen.is_to(id, born_ms));
+                entry
+                    .exposures
+                    .retain(|seen| !seen.matches_incarnation(id, born_ms));
                 changed = entry.exposures.len() < before;
                 if !entry.exposures.iter().any(|seen| seen.endpoint == *id) {
-                    self.forget_exposed(id, task);
+                    self.remove_exposed_task(id, task);
                 }
             }
             if changed {
                 self.unsaved.progress.insert(task.job);
-                self.judge(task, id);
+                self.apply_verdict(task, id);
             }
         }
     }
@@ -282,58 +290,58 @@
         let unknown = unknown.filter(|id| !self.endpoint_keys.contains_key(*id));
         let unknown: Vec<EndpointId> = unknown.cloned().collect();
         for id in unknown {
-            self.endpoint_gone(&id, None, false);
+            self.record_gone_endpoint(&id, None, false);
         }
         let now = self.now;
         self.crashed_addresses
-            .retain(|_, at_ms| now.saturating_sub(*at_ms) < CRASHED_ADDRESS_MS);
+            .retain(|_, at_ms| now.saturating_sub(*at_ms) < CRASHED_ADDRESS_RETENTION_MS);
     }
 
-    fn judge(&mut self, task: TaskKey, endpoint: &EndpointId) {
+    fn apply_verdict(&mut self, task: TaskKey, endpoint: &EndpointId) {
         let found = self.verdict(task);
         log::info!(task:% = task, endpoint:% = endpoint, verdict:? = found; "endpoint crashed with a task");
         if found == Verdict::Culprit {
             log::warn!(task:% = task; "task brings its endpoints down, given up");
-            meters::given_up("crashes");
-            self.fail(task.job);
+            metrics::given_up("crashes");
+            self.fail_job(task.job);
         }
     }
 
     /// Takes off the note of a run that is over while its endpoint answers.
-    pub(super) fn run_survived(&mut self, task: TaskKey, run: Run) {
-        let Some(entry) = self.exposed_task(task) else {
+    pub(super) fn clear_survived_exposure(&mut self, task: TaskKey, run: Run) {
+        let Some(entry) = self.unfinished_task(task) else {
             return;
         };
-        let at_work = |seen: &Exposure| seen.run == run && seen.fate == Fate::AtWork;
+        let at_work = |seen: &Exposure| seen.run == run && seen.fate == ExposureState::AtWork;
         let position = entry.exposures.iter().position(at_work);
         if let Some(position) = position {
             let seen = entry.exposures.remove(position);
-            self.forget_exposed(&seen.endpoint, task);
+            self.remove_exposed_task(&seen.endpoint, task);
             self.unsaved.progress.insert(task.job);
         }
     }
 
     /// Notes of a run that its endpoint lists whether it is new there.
-    pub(super) fn note_heard(&mut self, key: EndpointKey, task: TaskKey) {
+    pub(super) fn update_exposure_age(&mut self, key: EndpointKey, task: TaskKey) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
         let Some(placed) = endpoint.placed.get(&task) else {
             return;
         };
-        let heard_ms = endpoint.heard_with_ms(placed).unwrap_or(0);
+        let heard_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0);
         let run = placed.run;
-        if heard_ms < NEW_MS {
+        if heard_ms < NEW_RUN_MS {
             return;
         }
-        let lasts = self.jobs.get(&task.job).is_some_and(|job| job.lasts);
-        let Some(entry) = self.exposed_task(task) else {
+        let long_running = self.jobs.get(&task.job).is_some_and(|job| job.long_running);
+        let Some(entry) = self.unfinished_task(task) else {
             return;
         };
         if entry.exposures.is_empty() {
             return;
         }
-        if lasts && heard_ms >= LIVED_MS {
+        if long_running && heard_ms >= CLEARED_AFTER_MS {
             entry.exposures.clear();
             self.unsaved.progress.insert(task.job);
             return;
@@ -347,7 +355,7 @@
     }
 
     /// Returns whether an endpoint has crashed at this address of late.
-    pub(super) fn crashed_at(&self, address: &str) -> bool {
+    pub(super) fn recently_crashed_at(&self, address: &str) -> bool {
         self.crashed_addresses.contains_key(address)
     }
 }
@@ -365,8 +373,8 @@
             run: placed.run,
             endpoint: endpoint.entry.id.clone(),
             born_ms: endpoint.born_ms,
-            fate: Fate::Lost,
-            new: endpoint.is_new(placed),
+            fate: ExposureState::Lost,
+            new: endpoint.has_just_begun(placed),
             alone,
             answered: placed.confirmed_ms.is_some(),
         };
--- a/crates/chervilfall_planner/src/planner/endpoints.rs
+++ b/crates/chervilfall_planner/src/planner/endpoints.rs
@@ -6,11 +6,11 @@
 use crate::endpoint::{Endpoint, EndpointEntry, EndpointKey};
 use crate::event::{HoldAnswer, HoldReport, RunningRun};
 use crate::ids::{EndpointId, Millis, Run, TaskKey};
-use crate::meters;
-use crate::placed::{LossReason, Placed, RunPhase};
+use crate::metrics;
+use crate::placed_run::{LossReason, PlacedRun, RunPhase};
 use crate::planner::Planner;
 use crate::record::{RosterBucket, RosterEntry};
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::tasks::TaskState;
 
 /// Step of a sequence that fills a span evenly however many terms are taken: the golden ratio's part of it.
@@ -53,10 +53,10 @@
         key
     }
 
-    pub(super) fn list_endpoints(&mut self, read_ms: Millis, entries: Vec<EndpointEntry>) {
+    pub(super) fn update_endpoint_list(&mut self, read_ms: Millis, entries: Vec<EndpointEntry>) {
         let mut listed: BTreeSet<EndpointId> = BTreeSet::new();
         for entry in entries {
-            if self.is_foreign(&entry) {
+            if self.written_by_other_writer(&entry) {
                 log::warn!(endpoint:% = entry.id; "entry does not say when its endpoint was started, as the endpoint does");
                 continue;
             }
@@ -68,7 +68,7 @@
             if endpoint.listed && !now_listed {
                 log::info!(
                     endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(),
-                    draining = endpoint.draining, over = endpoint.over;
+                    draining = endpoint.draining, over = endpoint.defunct;
                     "endpoint left the list"
                 );
             }
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether an entry lacks a member that its endpoint has in all that it says: another writer's.
-    fn is_foreign(&self, entry: &EndpointEntry) -> bool {
+    fn written_by_other_writer(&self, entry: &EndpointEntry) -> bool {
         let key = self.endpoint_keys.get(&entry.id);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
         entry.born_ms.is_none() && endpoint.is_some_and(|endpoint| endpoint.born_ms.is_some())
@@ -86,14 +86,14 @@
 
     fn update_endpoint(&mut self, read_ms: Millis, entry: EndpointEntry) {
         let Some(key) = self.endpoint_keys.get(&entry.id).copied() else {
-            if !self.config.names(&entry.service) {
+            if !self.config.has_service(&entry.service) {
                 return;
             }
             log::info!(endpoint:% = entry.id, address = entry.address.as_str(), domain = entry.domain.as_str(); "endpoint joined");
             self.unsaved.roster.insert(RosterBucket::of(&entry.id));
             let key = self.add_endpoint(entry.clone(), true);
-            self.endpoints[key].guards_capacity = self.config.guards_capacity(&entry.service);
-            self.endpoints[key].take_entry(read_ms, entry);
+            self.endpoints[key].enforces_capacity = self.config.enforces_capacity(&entry.service);
+            self.endpoints[key].update_entry(read_ms, entry);
             return;
         };
         let Some(endpoint) = self.endpoints.get_mut(key) else {
@@ -101,12 +101,12 @@
         };
         let was_draining = endpoint.draining;
         let known_ms = endpoint.entry.born_ms;
-        endpoint.guards_capacity = self.config.guards_capacity(&entry.service);
-        endpoint.take_entry(read_ms, entry);
+        endpoint.enforces_capacity = self.config.enforces_capacity(&entry.service);
+        endpoint.update_entry(read_ms, entry);
         if endpoint.draining && !was_draining {
             log::info!(endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(); "endpoint is draining");
         }
-        if endpoint.entry.born_ms != known_ms && !endpoint.entry_is_own() {
+        if endpoint.entry.born_ms != known_ms && !endpoint.entry_is_of_incarnation() {
             // Only its own lists tell which incarnation is there.
             endpoint.next_hold_ms = self.now;
         }
@@ -115,13 +115,13 @@
     /// Drops endpoints that are gone and can run nothing any more.
     fn drop_endpoints(&mut self) {
         let gone = self.endpoints.iter().filter(|(_, endpoint)| {
-            !endpoint.listed && endpoint.over && endpoint.placed.is_empty()
+            !endpoint.listed && endpoint.defunct && endpoint.placed.is_empty()
         });
         let gone: Vec<EndpointKey> = gone.map(|(key, _)| key).collect();
         for key in gone {
             if let Some(endpoint) = self.endpoints.get(key) {
                 let (id, draining) = (endpoint.entry.id.clone(), endpoint.draining);
-                self.endpoint_gone(&id, endpoint.born_ms, draining);
+                self.record_gone_endpoint(&id, endpoint.born_ms, draining);
             }
             if let Some(endpoint) = self.endpoints.remove(key) {
                 log::info!(endpoint:% = endpoint.entry.id; "endpoint dropped");
@@ -133,7 +133,12 @@
         self.settle_unknown_endpoints();
     }
 
-    pub(super) fn held(&mut self, key: EndpointKey, sent_ms: Millis, answer: HoldAnswer) {
+    pub(super) fn handle_hold_answer(
+        &mut self,
+        key: EndpointKey,
+        sent_ms: Millis,
+        answer: HoldAnswer,
+    ) {
         let retry_ms = self.limits.hold_retry_ms;
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
@@ -142,21 +147,25 @@
         endpoint.hold_sent_ms = None;
         match answer {
             // Which runs the next incarnation has been told to start must be known whole.
-            HoldAnswer::Report(report) if endpoint.is_other(report.born_ms) && !report.partial => {
-                self.started_again(key, sent_ms, &report);
+            HoldAnswer::Report(report)
+                if endpoint.is_other_incarnation(report.born_ms) && !report.partial =>
+            {
+                self.replace_incarnation(key, sent_ms, &report);
             }
-            HoldAnswer::Report(report) if !endpoint.is_other(report.born_ms) => {
-                self.take_report(key, sent_ms, &report);
+            HoldAnswer::Report(report) if !endpoint.is_other_incarnation(report.born_ms) => {
+                self.record_report(key, sent_ms, &report);
             }
             HoldAnswer::Fenced => self.step_down(StepDownReason::Fenced),
             // Holds go to the address of the entry; that of another incarnation says nothing of this one.
-            HoldAnswer::OtherIncarnation if endpoint.entry_is_own() => self.incarnation_over(key),
+            HoldAnswer::OtherIncarnation if endpoint.entry_is_of_incarnation() => {
+                self.incarnation_replaced(key);
+            }
             HoldAnswer::Report(_)
             | HoldAnswer::OtherIncarnation
             | HoldAnswer::Refused
             | HoldAnswer::Unanswered => {
-                let first = !std::mem::replace(&mut endpoint.missed, true);
-                endpoint.rests = false;
+                let first = !std::mem::replace(&mut endpoint.hold_unanswered, true);
+                endpoint.idle = false;
                 endpoint.next_hold_ms = now + retry_ms;
                 if first {
                     self.store_exposures(key);
@@ -165,7 +174,7 @@
         }
     }
 
-    fn take_report(&mut self, key: EndpointKey, sent_ms: Millis, report: &HoldReport) {
+    fn record_report(&mut self, key: EndpointKey, sent_ms: Millis, report: &HoldReport) {
         let now = self.now;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -175,10 +184,10 @@
         }
         endpoint.born_ms = report.born_ms.or(endpoint.born_ms);
         endpoint.leases.read_clock(now, report.clock_ms);
-        let heard_ms = self.limits.heard_ms(now, sent_ms);
-        endpoint.heard_ms = endpoint.heard_ms.max(Some(heard_ms));
-        endpoint.over = false;
-        endpoint.missed = false;
+        let last_contact_ms = self.limits.last_contact_ms(now, sent_ms);
+        endpoint.last_contact_ms = endpoint.last_contact_ms.max(Some(last_contact_ms));
+        endpoint.defunct = false;
+        endpoint.hold_unanswered = false;
         endpoint.lapsed_ms = None;
         if endpoint.lapses_store_ms.take().is_some() {
             let bucket = RosterBucket::of(&endpoint.entry.id);
@@ -189,57 +198,58 @@
             endpoint.assume_granted(&self.limits);
             endpoint.contacted = true;
         }
-        endpoint.obscured = report.partial;
-        self.take_lists(key, report);
+        endpoint.lists_incomplete = report.partial;
+        self.record_lists(key, report);
         if !report.partial {
-            self.settle_absent(key, sent_ms, report);
-            self.pass_barrier(key);
+            self.settle_missing_runs(key, sent_ms, report);
+            self.remove_from_barrier(key);
         }
     }
 
     /// Takes in the ends and runs that an endpoint lists.
-    pub(super) fn take_lists(&mut self, key: EndpointKey, report: &HoldReport) {
+    pub(super) fn record_lists(&mut self, key: EndpointKey, report: &HoldReport) {
         let now = self.now;
-        let rest_ms = self.spread(self.limits.rest_of(self.endpoints.len()));
-        let known = self.endpoints[key].taken_in;
+        let max_idle_hold_interval_ms =
+            self.spread_evenly(self.limits.idle_hold_interval_ms(self.endpoints.len()));
+        let known = self.endpoints[key].last_end_received;
         for end in report.ended.iter().filter(|end| end.number > known) {
-            self.take_end(key, end);
+            self.record_end(key, end);
         }
         let newest = report.ended.iter().map(|end| end.number).max().unwrap_or(0);
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
-        if newest > endpoint.taken_in {
-            endpoint.taken_in = newest;
-            self.unsaved.take_ends(key, newest);
+        if newest > endpoint.last_end_received {
+            endpoint.last_end_received = newest;
+            self.unsaved.record_ends(key, newest);
         }
-        let pending = endpoint.taken_in > endpoint.acknowledged;
+        let pending = endpoint.last_end_received > endpoint.acknowledged;
         // The next hold follows the commit that stores the ends, or renews the lease meanwhile.
         endpoint.next_hold_ms = if pending {
             now + self.limits.hold_retry_ms
         } else {
-            endpoint.gathered_ms(now, &self.limits)
+            endpoint.batched_hold_due_ms(now, &self.limits)
         };
-        self.note_alive(key, report);
+        self.settle_live_endpoint(key, report);
         for running in &report.running {
-            self.take_running(key, running);
+            self.record_running(key, running);
         }
         let endpoint = &mut self.endpoints[key];
-        endpoint.rests = endpoint.placed.is_empty() && !pending;
-        if endpoint.rests {
-            endpoint.next_hold_ms += rest_ms;
+        endpoint.idle = endpoint.placed.is_empty() && !pending;
+        if endpoint.idle {
+            endpoint.next_hold_ms += max_idle_hold_interval_ms;
         }
     }
 
     /// Returns up to this time and half of it more or less, evenly spread over those that ask: endpoints that were heard
     /// together must not be held together for ever.
-    fn spread(&mut self, time_ms: Millis) -> Millis {
-        self.spread_permille = (self.spread_permille + SPREAD_STEP_PERMILLE) % 1_000;
-        time_ms / 2 + time_ms * self.spread_permille / 1_000
+    fn spread_evenly(&mut self, time_ms: Millis) -> Millis {
+        self.idle_jitter_permille = (self.idle_jitter_permille + SPREAD_STEP_PERMILLE) % 1_000;
+        time_ms / 2 + time_ms * self.idle_jitter_permille / 1_000
     }
 
     /// Takes in a run that an endpoint lists as at work.
-    fn take_running(&mut self, key: EndpointKey, running: &RunningRun) {
+    fn record_running(&mut self, key: EndpointKey, running: &RunningRun) {
         let task = running.task;
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
@@ -252,18 +262,18 @@
                     placed.confirmed_ms = Some(self.now);
                 }
                 self.confirm_start(task);
-                self.keep_checkpoint(task, &running.checkpoint);
-                self.note_heard(key, task);
+                self.record_checkpoint(task, &running.checkpoint);
+                self.update_exposure_age(key, task);
                 return;
             }
             // The lists order runs of a task on one endpoint; an older one is on its way out.
             return;
         }
-        self.adopt(key, running);
+        self.adopt_or_stop(key, running);
     }
 
     /// Takes over a run that an earlier holder started, or stops it if it is not wanted.
-    fn adopt(&mut self, key: EndpointKey, running: &RunningRun) {
+    fn adopt_or_stop(&mut self, key: EndpointKey, running: &RunningRun) {
         let task = running.task;
         let job = self.jobs.get(&task.job);
         let state = job.and_then(|job| job.task(task)).map(|task| task.state);
@@ -278,41 +288,41 @@
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
-        let room = step.map(Room::of_step);
+        let resources = step.map(Resources::of_step);
         let id = endpoint.entry.id.clone();
         let charge = self.charge(task);
-        self.put(
+        self.record_run(
             key,
             task,
-            Placed {
+            PlacedRun {
                 run: running.run,
                 phase: RunPhase::Running,
-                room: room.unwrap_or_default(),
+                resources: resources.unwrap_or_default(),
                 charge,
-                unsized_run: room.is_none(),
+                size_unknown: resources.is_none(),
                 unanswered: 0,
                 unseen: false,
                 confirmed_ms: Some(self.now),
                 resumed: true,
-                hurried: false,
-                apart: false,
+                latency_sensitive: false,
+                exclusive: false,
             },
         );
         log::info!(task:% = task, run = running.run, endpoint:% = id, wanted = wanted; "found a run at work");
         if wanted {
             if let Some((other, run)) = superseded {
-                self.unplace(task);
+                self.clear_placement(task);
                 self.begin_stop(other, task, run);
             }
             self.set_placed(task, key, running.run);
-            self.keep_checkpoint(task, &running.checkpoint);
+            self.record_checkpoint(task, &running.checkpoint);
         } else {
             self.begin_stop(key, task, running.run);
         }
     }
 
     /// Takes a task off its place, because a later run of it was found elsewhere.
-    fn unplace(&mut self, task: TaskKey) {
+    fn clear_placement(&mut self, task: TaskKey) {
         let job = self.jobs.get_mut(&task.job);
         let progress = job.and_then(|job| job.step_progress_mut(task.step_key()));
         let Some(progress) = progress else {
@@ -344,7 +354,7 @@
         }
     }
 
-    pub(super) fn keep_checkpoint(&mut self, task: TaskKey, checkpoint: &str) {
+    pub(super) fn record_checkpoint(&mut self, task: TaskKey, checkpoint: &str) {
         if checkpoint.is_empty() {
             return;
         }
@@ -359,7 +369,7 @@
     }
 
     /// Settles runs that a list lacks although it was asked for after the run was known there.
-    fn settle_absent(&mut self, key: EndpointKey, sent_ms: Millis, report: &HoldReport) {
+    fn settle_missing_runs(&mut self, key: EndpointKey, sent_ms: Millis, report: &HoldReport) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
@@ -383,40 +393,40 @@
             let endpoint = &self.endpoints[key];
             log::info!(
                 task:% = task, run = run, endpoint:% = endpoint.entry.id, born_ms:? = endpoint.born_ms,
-                taken_in = endpoint.taken_in;
+                taken_in = endpoint.last_end_received;
                 "run is not there"
             );
-            meters::not_there();
-            self.free(key, task);
+            metrics::run_missing();
+            self.release_run(key, task);
             self.requeue(task, key, run);
         }
     }
 
-    pub(super) fn incarnation_over(&mut self, key: EndpointKey) {
+    pub(super) fn incarnation_replaced(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
         endpoint.next_hold_ms = self.now + self.limits.hold_retry_ms;
-        if !endpoint.over {
+        if !endpoint.defunct {
             log::warn!(endpoint:% = endpoint.entry.id, tasks = endpoint.placed.len(); "another incarnation is at the address");
         }
         endpoint.contacted = true;
-        self.clear_endpoint(key, LossReason::Replaced);
-        self.pass_barrier(key);
+        self.give_up_endpoint(key, LossReason::Replaced);
+        self.remove_from_barrier(key);
     }
 
     /// Gives up what was on an endpoint.
-    pub(super) fn clear_endpoint(&mut self, key: EndpointKey, reason: LossReason) {
+    pub(super) fn give_up_endpoint(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
-        endpoint.over = true;
-        self.note_lost_runs(key, reason);
-        self.requeue_lost(key, reason);
+        endpoint.defunct = true;
+        self.record_lost_runs(key, reason);
+        self.requeue_lost_runs(key, reason);
     }
 
     /// Gives the tasks of lost runs back to the queue.
-    pub(super) fn requeue_lost(&mut self, key: EndpointKey, reason: LossReason) {
+    pub(super) fn requeue_lost_runs(&mut self, key: EndpointKey, reason: LossReason) {
         let Some(endpoint) = self.endpoints.get(key) else {
             return;
         };
@@ -425,19 +435,19 @@
         let placed: Vec<(TaskKey, Run)> =
             placed.map(|(task, placed)| (*task, placed.run)).collect();
         for (task, run) in placed {
-            meters::run_lost(reason);
-            self.free(key, task);
+            metrics::run_lost(reason);
+            self.release_run(key, task);
             self.requeue(task, key, run);
         }
     }
 
     /// Takes a run off an endpoint's books.
-    pub(super) fn free(&mut self, key: EndpointKey, task: TaskKey) {
+    pub(super) fn release_run(&mut self, key: EndpointKey, task: TaskKey) {
         self.stopping.remove(key, task);
         self.schedule_due = true;
         let endpoint = self.endpoints.get_mut(key);
         let freed = endpoint.and_then(|endpoint| endpoint.release(task));
-        self.discharge(freed);
+        self.release_usage(freed);
     }
 }
 
@@ -446,9 +456,9 @@
 fn log_lost_runs(endpoint: &Endpoint, reason: LossReason, now: Millis) {
     for (task, placed) in &endpoint.placed {
         log::info!(
-            task:% = task, run = placed.run, endpoint:% = endpoint.entry.id, reason = reason.word(),
+            task:% = task, run = placed.run, endpoint:% = endpoint.entry.id, reason = reason.label(),
             draining = endpoint.draining, phase:? = placed.phase,
-            answered = placed.confirmed_ms.is_some(), heard_with_ms = endpoint.heard_with_ms(placed).unwrap_or(0),
+            answered = placed.confirmed_ms.is_some(), heard_with_ms = endpoint.contact_with_run_ms(placed).unwrap_or(0),
             silent_ms = endpoint.silent_for(now);
             "run given up with its endpoint"
         );
--- a/crates/chervilfall_planner/src/planner/ends.rs
+++ b/crates/chervilfall_planner/src/planner/ends.rs
@@ -3,26 +3,26 @@
 use crate::action::JobState;
 use crate::advice::Advice;
 use crate::endpoint::EndpointKey;
-use crate::event::{EndedRun, How};
+use crate::event::{EndReason, EndedRun};
 use crate::ids::{JobId, Millis, Run, TaskKey};
-use crate::meters;
+use crate::metrics;
 use crate::planner::Planner;
-use crate::policy::speed::{learn, Took};
+use crate::policy::speed::{learn_speeds, DurationSample};
 use crate::tasks::{StepKey, StepProgress, TaskState};
 
 impl Planner {
     /// Takes in an end that an endpoint lists for the first time.
-    pub(super) fn take_end(&mut self, key: EndpointKey, end: &EndedRun) {
+    pub(super) fn record_end(&mut self, key: EndpointKey, end: &EndedRun) {
         let task = end.task;
-        meters::ended(end.how);
-        self.count_failure(key, end);
+        metrics::ended(end.how);
+        self.update_quarantine(key, end);
         let there = self.endpoints[key].placed.get(&task);
         if let Some(placed) = there.filter(|placed| placed.run == end.run) {
             let since_ms = placed.confirmed_ms.filter(|_| !placed.resumed);
-            if let (How::Done, Some(since_ms)) = (end.how, since_ms) {
-                self.note_time(key, task, since_ms);
+            if let (EndReason::Done, Some(since_ms)) = (end.how, since_ms) {
+                self.record_duration(key, task, since_ms);
             }
-            self.free(key, task);
+            self.release_run(key, task);
         }
         let known = self.jobs.get(&task.job).and_then(|job| job.task(task));
         log::info!(
@@ -34,17 +34,17 @@
             return;
         }
         self.confirm_start(task);
-        self.keep_checkpoint(task, &end.checkpoint);
+        self.record_checkpoint(task, &end.checkpoint);
         match end.how {
-            How::Done => self.complete(task),
-            How::Failed => self.note_failure(task, key, end.run),
-            How::Stopped | How::Lapsed | How::Broken | How::Alone => {}
+            EndReason::Done => self.complete_task(task),
+            EndReason::Failed => self.record_failed_run(task, key, end.run),
+            EndReason::Stopped | EndReason::Lapsed | EndReason::Broken | EndReason::Alone => {}
         }
         self.requeue(task, key, end.run);
     }
 
     /// Notes how long a run took that began at the beginning.
-    fn note_time(&mut self, endpoint: EndpointKey, task: TaskKey, since_ms: Millis) {
+    fn record_duration(&mut self, endpoint: EndpointKey, task: TaskKey, since_ms: Millis) {
         let ms = self.now.saturating_sub(since_ms);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -57,20 +57,20 @@
             .is_some_and(|step| !step.gang);
         let progress = job.step_progress_mut(task.step_key());
         if let Some(progress) = progress.filter(|_| alone) {
-            progress.took.push(Took { endpoint, ms });
+            progress.durations.push(DurationSample { endpoint, ms });
         }
     }
 
-    fn count_failure(&mut self, key: EndpointKey, end: &EndedRun) {
+    fn update_quarantine(&mut self, key: EndpointKey, end: &EndedRun) {
         let endpoint = &mut self.endpoints[key];
         match end.how {
-            How::Done => endpoint.quarantine.done(),
-            How::Failed => {
+            EndReason::Done => endpoint.quarantine.done(),
+            EndReason::Failed => {
                 if let Some(pause_ms) = endpoint.quarantine.failed(self.now, end.task.job) {
                     log::warn!(endpoint:% = endpoint.entry.id, pause_ms = pause_ms; "endpoint fails what it runs, left alone");
                 }
             }
-            How::Stopped | How::Lapsed | How::Broken | How::Alone => {}
+            EndReason::Stopped | EndReason::Lapsed | EndReason::Broken | EndReason::Alone => {}
         }
     }
 
@@ -100,7 +100,7 @@
         if over {
             return;
         }
-        self.run_survived(task, run);
+        self.clear_survived_exposure(task, run);
         let Some(progress) = self
             .jobs
             .get_mut(&task.job)
@@ -137,7 +137,7 @@
     }
 
     /// Marks a task as done; one member of a gang stands for all.
-    fn complete(&mut self, task: TaskKey) {
+    fn complete_task(&mut self, task: TaskKey) {
         let key = task.step_key();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -191,7 +191,7 @@
         };
         if let Some(progress) = job.step_progress_mut(key) {
             let endpoints = &mut self.endpoints;
-            learn(&std::mem::take(&mut progress.took), endpoints);
+            learn_speeds(&std::mem::take(&mut progress.durations), endpoints);
             progress.advice = Advice::default();
         }
         let steps = job.occurrences.get(&key.occurrence);
@@ -202,12 +202,12 @@
         }
         job.complete_occurrences += 1;
         if job.complete_occurrences >= job.spec.occurrences() {
-            self.finish(key.job, JobState::Completed);
+            self.finish_job(key.job, JobState::Completed);
         }
     }
 
     /// Counts a failed run once, however often it is listed.
-    fn note_failure(&mut self, task: TaskKey, endpoint: EndpointKey, run: Run) {
+    fn record_failed_run(&mut self, task: TaskKey, endpoint: EndpointKey, run: Run) {
         let key = task.step_key();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -235,13 +235,13 @@
         self.unsaved.progress.insert(task.job);
         if exhausted {
             log::warn!(task:% = task; "attempts used up");
-            meters::given_up("attempts");
-            self.fail(task.job);
+            metrics::given_up("attempts");
+            self.fail_job(task.job);
         }
     }
 
-    pub(super) fn fail(&mut self, id: JobId) {
-        self.finish(id, JobState::Failed);
+    pub(super) fn fail_job(&mut self, id: JobId) {
+        self.finish_job(id, JobState::Failed);
     }
 }
 
--- a/crates/chervilfall_planner/src/planner/history.rs
+++ b/crates/chervilfall_planner/src/planner/history.rs
@@ -21,7 +21,7 @@
 
 /// What a look at the row of an ended job shows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Look {
+pub enum LookupResult {
     /// The row.
     Ended(ProgressRow),
     /// There is none.
@@ -74,14 +74,14 @@
         true
     }
 
-    pub(super) fn looked_up(&mut self, id: JobId, look: Look) {
+    pub(super) fn looked_up(&mut self, id: JobId, look: LookupResult) {
         let waiting = self.history.waiting.remove(&id).unwrap_or_default();
         match look {
-            Look::Ended(row) => self.take_ended(vec![(id, row)]),
-            Look::Absent => {
+            LookupResult::Ended(row) => self.take_ended(vec![(id, row)]),
+            LookupResult::Absent => {
                 self.history.absent.insert(id);
             }
-            Look::Failed => {
+            LookupResult::Failed => {
                 for (to, request) in waiting {
                     self.reply(to, not_looked_up(&request));
                 }
@@ -104,7 +104,7 @@
     }
 
     /// Has the text of a job read before the others: its turn has come.
-    pub(super) fn want_text(&mut self, id: JobId) {
+    pub(super) fn request_text(&mut self, id: JobId) {
         let asked_ms = self.history.textless.get(&id);
         if asked_ms.is_some_and(|asked_ms| self.now < asked_ms + TEXT_RETRY_MS) {
             return;
--- a/crates/chervilfall_planner/src/planner/incarnations.rs
+++ b/crates/chervilfall_planner/src/planner/incarnations.rs
@@ -9,8 +9,8 @@
 use crate::endpoint::{Endpoint, EndpointKey};
 use crate::event::HoldReport;
 use crate::ids::{Millis, Run, TaskKey};
-use crate::meters;
-use crate::placed::{LossReason, Placed, RunPhase};
+use crate::metrics;
+use crate::placed_run::{LossReason, PlacedRun, RunPhase};
 use crate::planner::Planner;
 use crate::record::RosterBucket;
 use crate::tasks::TaskState;
@@ -20,7 +20,7 @@
     ///
     /// Orders that are still on their way to the earlier one may reach this one. They carry a lower fencing token than it
     /// is given from now on, so that its next lists show all of them that it has ever carried out.
-    pub(super) fn started_again(
+    pub(super) fn replace_incarnation(
         &mut self,
         before: EndpointKey,
         sent_ms: Millis,
@@ -29,16 +29,16 @@
         let Some(endpoint) = self.endpoints.get(before) else {
             return;
         };
-        meters::started_again();
+        metrics::started_again();
         log::warn!(
             endpoint:% = endpoint.entry.id, born_ms:? = report.born_ms, before_ms:? = endpoint.born_ms,
-            tasks = endpoint.placed.len(), taken_in = endpoint.taken_in,
+            tasks = endpoint.placed.len(), taken_in = endpoint.last_end_received,
             silent_ms = endpoint.silent_for(self.now);
             "endpoint has started again"
         );
         let mut next = Endpoint::next_incarnation(endpoint, report.born_ms);
         next.leases.read_clock(self.now, report.clock_ms);
-        next.heard_ms = Some(self.limits.heard_ms(self.now, sent_ms));
+        next.last_contact_ms = Some(self.limits.last_contact_ms(self.now, sent_ms));
         next.assume_granted(&self.limits);
         let id = endpoint.entry.id.clone();
         let (before_ms, draining) = (endpoint.born_ms, endpoint.draining);
@@ -46,36 +46,36 @@
         let key = self.endpoints.insert(next);
         self.endpoint_keys.insert(id.clone(), key);
 
-        self.carry_over(before, key, |task, placed| {
-            lists(report, task, placed.run).then(|| placed.clone())
+        self.move_runs(before, key, |task, placed| {
+            report_lists_run(report, task, placed.run).then(|| placed.clone())
         });
-        self.note_lost_runs(before, LossReason::Replaced);
+        self.record_lost_runs(before, LossReason::Replaced);
         if draining {
-            self.endpoint_gone(&id, before_ms, true);
+            self.record_gone_endpoint(&id, before_ms, true);
         }
         let now = self.now;
-        self.carry_over(before, key, |_, placed| awaited(placed, sent_ms, now));
-        self.end_record(before);
-        self.take_lists(key, report);
-        self.pass_barrier(before);
+        self.move_runs(before, key, |_, placed| in_flight_run(placed, sent_ms, now));
+        self.remove_replaced_record(before);
+        self.record_lists(key, report);
+        self.remove_from_barrier(before);
     }
 
     /// Moves runs to the record of the next incarnation, as `kept` says what becomes of them.
-    fn carry_over(
+    fn move_runs(
         &mut self,
         before: EndpointKey,
         key: EndpointKey,
-        kept: impl Fn(TaskKey, &Placed) -> Option<Placed>,
+        kept: impl Fn(TaskKey, &PlacedRun) -> Option<PlacedRun>,
     ) {
         let Some(endpoint) = self.endpoints.get(before) else {
             return;
         };
         let runs = endpoint.placed.iter();
-        let runs: Vec<(TaskKey, Placed)> = runs
+        let runs: Vec<(TaskKey, PlacedRun)> = runs
             .filter_map(|(task, placed)| Some((*task, kept(*task, placed)?)))
             .collect();
         for (task, mut placed) in runs {
-            self.free(before, task);
+            self.release_run(before, task);
             if let RunPhase::Stopping { .. } = placed.phase {
                 // What the earlier incarnation knows of the stop is gone with it.
                 placed.phase = RunPhase::Stopping {
@@ -84,13 +84,13 @@
                 };
                 self.stopping.insert(key, task);
             }
-            self.replace_state(task, before, key, placed.run);
-            self.put(key, task, placed);
+            self.update_placement(task, before, key, placed.run);
+            self.record_run(key, task, placed);
         }
     }
 
     /// Lets a task know where its run is now.
-    fn replace_state(&mut self, task: TaskKey, before: EndpointKey, key: EndpointKey, run: Run) {
+    fn update_placement(&mut self, task: TaskKey, before: EndpointKey, key: EndpointKey, run: Run) {
         let job = self.jobs.get_mut(&task.job);
         let progress = job.and_then(|job| job.step_progress_mut(task.step_key()));
         let entry = progress.and_then(|progress| progress.tasks.get_mut(task.index as usize));
@@ -100,15 +100,15 @@
     }
 
     /// Gives up what is left of an earlier incarnation.
-    fn end_record(&mut self, before: EndpointKey) {
-        self.requeue_lost(before, LossReason::Replaced);
+    fn remove_replaced_record(&mut self, before: EndpointKey) {
+        self.requeue_lost_runs(before, LossReason::Replaced);
         self.unsaved.acknowledgements.remove(before);
         self.endpoints.remove(before);
     }
 }
 
 /// Returns whether an endpoint shows a run, at work or ended.
-fn lists(report: &HoldReport, task: TaskKey, run: Run) -> bool {
+fn report_lists_run(report: &HoldReport, task: TaskKey, run: Run) -> bool {
     let running = report.running.iter();
     let mut running = running.map(|running| (running.task, running.run));
     let mut ended = report.ended.iter().map(|ended| (ended.task, ended.run));
@@ -117,7 +117,7 @@
 
 /// Returns a run that the next incarnation may be told to start, or was told after its lists were asked for: the next
 /// lists must show it.
-fn awaited(placed: &Placed, sent_ms: Millis, now: Millis) -> Option<Placed> {
+fn in_flight_run(placed: &PlacedRun, sent_ms: Millis, now: Millis) -> Option<PlacedRun> {
     let on_its_way = placed.phase == RunPhase::Starting || placed.unanswered > 0;
     let answered_since = placed
         .confirmed_ms
@@ -129,7 +129,7 @@
         RunPhase::Starting => RunPhase::Running,
         other => other,
     };
-    Some(Placed {
+    Some(PlacedRun {
         phase,
         unseen: true,
         confirmed_ms: Some(now),
--- a/crates/chervilfall_planner/src/planner/leases.rs
+++ b/crates/chervilfall_planner/src/planner/leases.rs
@@ -2,8 +2,8 @@
 
 use crate::action::{Action, HoldOrder};
 use crate::ids::Millis;
-use crate::meters;
-use crate::placed::{LossReason, RunPhase};
+use crate::metrics;
+use crate::placed_run::{LossReason, RunPhase};
 use crate::planner::Planner;
 use crate::record::RosterBucket;
 use crate::starts::READ_BACK_MS;
@@ -18,13 +18,13 @@
 
 impl Planner {
     /// Bound on our clock that no lease may exceed.
-    pub(super) const fn cover_until_ms(&self) -> Millis {
+    pub(super) const fn lease_bound_ms(&self) -> Millis {
         self.covered_from_ms + self.limits.claim_cover_ms
     }
 
     pub(super) fn send_holds(&mut self) {
         let now = self.now;
-        let bound_ms = self.cover_until_ms();
+        let bound_ms = self.lease_bound_ms();
         let lease_ms = self.limits.lease_ms.min(self.limits.lease_max_ms);
         let mut first_holds = self.first_holds_left(false);
         let mut repeated_holds = self.first_holds_left(true);
@@ -37,7 +37,7 @@
             };
             if !endpoint.contacted {
                 // Those that do not answer must not keep the others waiting.
-                let left = if endpoint.missed {
+                let left = if endpoint.hold_unanswered {
                     &mut repeated_holds
                 } else {
                     &mut first_holds
@@ -58,14 +58,16 @@
                 .placed
                 .values()
                 .any(|placed| matches!(placed.phase, RunPhase::Stopping { .. }));
-            let wait_ms =
-                if silent || !endpoint.contacted || endpoint.taken_in > endpoint.acknowledged {
-                    0
-                } else if settling {
-                    SETTLE_WAIT_MS
-                } else {
-                    self.limits.hold_wait_ms
-                };
+            let wait_ms = if silent
+                || !endpoint.contacted
+                || endpoint.last_end_received > endpoint.acknowledged
+            {
+                0
+            } else if settling {
+                SETTLE_WAIT_MS
+            } else {
+                self.limits.hold_wait_ms
+            };
             endpoint.hold_sent_ms = Some(now);
             self.actions.push(Action::Hold(HoldOrder {
                 endpoint: key,
@@ -84,7 +86,7 @@
     fn first_holds_left(&self, again: bool) -> usize {
         let recent = |sent_ms: Millis| self.now < sent_ms + self.limits.first_hold_ms;
         let waiting = self.endpoints.values().filter(|endpoint| {
-            let asked = !endpoint.contacted && endpoint.missed == again;
+            let asked = !endpoint.contacted && endpoint.hold_unanswered == again;
             asked && endpoint.hold_sent_ms.is_some_and(recent)
         });
         let most = if again {
@@ -106,7 +108,7 @@
             // Orders to the incarnation before may reach an endpoint until it has answered with a higher token.
             let settled = endpoint.contacted || (endpoint.has_started_again() && !endpoint.listed);
             let silent = settled && endpoint.silent_for(now) > LAPSE_CHECK_MS;
-            if endpoint.over || !silent || !endpoint.leases.surely_lapsed(now, &self.limits) {
+            if endpoint.defunct || !silent || !endpoint.leases.surely_lapsed(now, &self.limits) {
                 continue;
             }
             let lapsed_ms = *endpoint.lapsed_ms.get_or_insert(now);
@@ -121,13 +123,13 @@
                 tasks = endpoint.placed.len();
                 "leases lapsed, endpoint is silent"
             );
-            meters::lapsed();
-            self.clear_endpoint(key, LossReason::Silent);
+            metrics::lapsed();
+            self.give_up_endpoint(key, LossReason::Silent);
         }
         // An endpoint that has never answered runs nothing of ours.
         for endpoint in self.endpoints.values_mut() {
-            if endpoint.heard_ms.is_none() && !endpoint.listed && self.barrier.is_none() {
-                endpoint.over = true;
+            if endpoint.last_contact_ms.is_none() && !endpoint.listed && self.barrier.is_none() {
+                endpoint.defunct = true;
             }
         }
     }
@@ -169,7 +171,7 @@
         }
         // A successor that comes before the lapse reads no starts of so long ago.
         for key in forgettable {
-            self.note_lost_runs(key, LossReason::Silent);
+            self.record_lost_runs(key, LossReason::Silent);
         }
     }
 }
