--- a/crates/chervilfall_planner/tests/restarts.rs
+++ b/crates/chervilfall_planner/tests/restarts.rs
@@ -1,15 +1,15 @@
-//! Endpoints that start again under the name that they had.
+//! Endpoints that restart under the same name.
 //!
-//! What was seen: 17 of 48 endpoints started again within half a second. From then on runs on them were found to be `not
-//! there` although they had ended, as done or failed, and their tasks were started again, after an end as done and
-//! beyond their attempts; on the 31 others none was. How it came about: the next incarnation numbers its ends from 1, so
-//! that they passed for those that had been taken in before, and the acknowledgement for the incarnation before, which
-//! was higher, deleted them. The cause: what is known of one life of an endpoint was kept under the name alone, and
-//! nothing read when it was started. What proved it: the lines of both records, and the first case below, which does the
-//! same.
+//! Guards against this failure: after 17 of 48 endpoints had restarted within half a second, runs on them
+//! were recorded as `not there` although they had ended as done or failed, and their tasks were started
+//! again, after an end as done and beyond their attempts. The state of an endpoint was kept under its name
+//! alone, without the start time of the incarnation. The next incarnation numbers its ends from 1, so they
+//! were taken for ends already recorded, and the higher acknowledgement for the earlier incarnation deleted
+//! them.
 //!
-//! The same cause elsewhere: leases on a clock that has begun anew, orders that reach the next life, tokens for
-//! which it has no permission, capacity and draining that an entry says of another life, notes of starts and of crashes.
+//! The same cause affects leases on a clock that restarts, orders that reach the next incarnation, fencing
+//! tokens unknown to it, capacity and draining in an entry of another incarnation, and records of starts
+//! and crashes.
 
 mod world;
 
@@ -20,30 +20,30 @@
 
 /// Time for all jobs to end after the last crash.
 const SETTLE_MS: u64 = 40_000;
-/// Time between crashes: an endpoint has some ends by then.
+/// Time between crashes, in which each endpoint lists some ends.
 const BETWEEN_MS: u64 = 2_500;
-/// Endpoints of a cell.
+/// Number of endpoints.
 const ENDPOINTS: usize = 6;
 
-/// Endpoints that must have crashed under one task of a job before the job may be given up, whoever is at fault: crashes
-/// come each 2.5 s here, so that no holder could always tell.
+/// Minimum number of endpoint crashes during runs of one task before its job may be given up, whatever caused
+/// them. Here endpoints crash every 2.5 s, so no holder can always tell which task is at fault.
 const GIVEN_UP_CRASHES: usize = 2;
 
-/// What happens beside the crashes.
+/// A fault at the time of the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Beside {
+enum ConcurrentFault {
     Nothing,
     /// The holder's process is killed just after each crash.
     HolderKilled,
-    /// The holder stands still for 4 s from each crash on.
+    /// The holder is frozen for 4 s from each crash on.
     HolderFrozen,
-    /// Orders come late.
+    /// Some orders arrive late.
     LateOrders,
-    /// Answers of the store are lost.
+    /// Some answers of the store are lost.
     StoreLosesAnswers,
-    /// The store is away for 2 s from each crash on.
+    /// The store is unreachable for 2 s from each crash on.
     StoreAway,
-    /// The endpoints are cut off for a while just after they have started again.
+    /// The endpoints are cut off until 1.5 s after they have restarted.
     Cut,
 }
 
@@ -57,30 +57,30 @@
     }
 }
 
-fn strike(world: &mut World, round: u64, beside: Beside) {
+fn inject_fault(world: &mut World, round: u64, concurrent_fault: ConcurrentFault) {
     let now = world.now;
     let position = usize::try_from(round).expect("small");
     for number in [position % ENDPOINTS, (position + 1) % ENDPOINTS] {
         let endpoint = world.endpoints.values_mut().nth(number).expect("in range");
         endpoint.crash(now, None);
-        if beside == Beside::Cut {
-            endpoint.cut_until_ms = now + world.reborn_ms + 1_500;
+        if concurrent_fault == ConcurrentFault::Cut {
+            endpoint.cut_until_ms = now + world.restart_delay_ms + 1_500;
         }
     }
     let Some(holder) = world.holder() else {
         return;
     };
-    match beside {
-        Beside::HolderKilled => world.kill(holder),
-        Beside::HolderFrozen => world.nodes[holder].frozen_until_ms = now + 4_000,
-        Beside::StoreAway => world.store.down_until_ms = now + 2_000,
-        Beside::LateOrders => world.late_percent = 20,
-        Beside::StoreLosesAnswers => world.store.lost_percent = 30,
-        Beside::Nothing | Beside::Cut => {}
+    match concurrent_fault {
+        ConcurrentFault::HolderKilled => world.kill(holder),
+        ConcurrentFault::HolderFrozen => world.nodes[holder].frozen_until_ms = now + 4_000,
+        ConcurrentFault::StoreAway => world.store.down_until_ms = now + 2_000,
+        ConcurrentFault::LateOrders => world.late_percent = 20,
+        ConcurrentFault::StoreLosesAnswers => world.store.lost_answer_percent = 30,
+        ConcurrentFault::Nothing | ConcurrentFault::Cut => {}
     }
 }
 
-/// Hands in short jobs until then, and returns the number of the next one.
+/// Submits short jobs until `until_ms`, and returns the id of the next one.
 fn submit_until(world: &mut World, until_ms: u64, first: u64) -> u64 {
     let mut next = first;
     while world.now < until_ms {
@@ -94,10 +94,10 @@
     next
 }
 
-/// Lets all end, and looks at what became of it.
-fn settle(world: &mut World) {
+/// Waits until all jobs should have ended, and checks their outcomes.
+fn settle_and_check(world: &mut World) {
     world.late_percent = 0;
-    world.store.lost_percent = 0;
+    world.store.lost_answer_percent = 0;
     world.run(SETTLE_MS);
     world.check_history();
     let accepted: Vec<JobId> = world.accepted.iter().copied().collect();
@@ -106,7 +106,7 @@
             id,
             asker: Asker::default(),
         });
-        let suspect = world.most_crashes_under(id) >= GIVEN_UP_CRASHES;
+        let suspect = world.max_crashes_under(id) >= GIVEN_UP_CRASHES;
         let may_fail = world.has_used_attempts(id) || suspect;
         let failed = answer == Answer::State(JobState::Failed) && may_fail;
         if answer != Answer::State(JobState::Completed) && !failed {
@@ -115,79 +115,107 @@
     }
 }
 
-/// Plays crashes of two endpoints at a time, and returns what was broken.
-fn play(reborn_ms: u64, beside: Beside, seed: u64) -> Vec<String> {
+/// Simulates crashes of two endpoints at a time, and returns the violations.
+fn run_crashes(restart_delay_ms: u64, concurrent_fault: ConcurrentFault, seed: u64) -> Vec<String> {
     let mut world = World::new(3, ENDPOINTS, seed);
     world.keep_names();
-    world.reborn_ms = reborn_ms;
+    world.restart_delay_ms = restart_delay_ms;
     world.run(1_500);
     let mut next = 1;
     for round in 0..6 {
         let until_ms = world.now + BETWEEN_MS;
         next = submit_until(&mut world, until_ms, next);
-        strike(&mut world, round, beside);
+        inject_fault(&mut world, round, concurrent_fault);
     }
-    settle(&mut world);
+    settle_and_check(&mut world);
     if std::env::var("CHERVILFALL_TRACE").is_ok() {
-        println!("{}", world.story());
+        println!("{}", world.event_log());
     }
     world.violations
 }
 
 #[test]
-fn endpoints_that_start_again_under_their_name_run_nothing_twice() {
+fn endpoints_that_restart_under_their_name_run_nothing_twice() {
     struct Case {
         name: &'static str,
-        reborn_ms: u64,
-        beside: Beside,
+        restart_delay_ms: u64,
+        concurrent_fault: ConcurrentFault,
     }
-    let case = |name, reborn_ms, beside| Case {
+    let case = |name, restart_delay_ms, concurrent_fault| Case {
         name,
-        reborn_ms,
-        beside,
+        restart_delay_ms,
+        concurrent_fault,
     };
     let cases = [
-        case("back at once", 100, Beside::Nothing),
-        case("back while orders are on their way", 300, Beside::Nothing),
-        case("back before it is missed", 800, Beside::Nothing),
-        case("back before leases lapse", 2_000, Beside::Nothing),
-        case("back after leases have lapsed", 4_000, Beside::Nothing),
-        case("the holder is lost too", 300, Beside::HolderKilled),
-        case("the holder is lost too, late", 2_000, Beside::HolderKilled),
+        case("restart at once", 100, ConcurrentFault::Nothing),
         case(
-            "the holder stands still meanwhile",
+            "restart while orders are in flight",
+            300,
+            ConcurrentFault::Nothing,
+        ),
+        case(
+            "restart before the endpoint is missed",
+            800,
+            ConcurrentFault::Nothing,
+        ),
+        case(
+            "restart before leases lapse",
+            2_000,
+            ConcurrentFault::Nothing,
+        ),
+        case(
+            "restart after leases have lapsed",
+            4_000,
+            ConcurrentFault::Nothing,
+        ),
+        case("holder killed as well", 300, ConcurrentFault::HolderKilled),
+        case(
+            "holder killed as well, slow restart",
+            2_000,
+            ConcurrentFault::HolderKilled,
+        ),
+        case(
+            "holder frozen meanwhile",
             1_000,
-            Beside::HolderFrozen,
+            ConcurrentFault::HolderFrozen,
+        ),
+        case("orders arrive late", 500, ConcurrentFault::LateOrders),
+        case(
+            "orders arrive late at a missed endpoint",
+            2_000,
+            ConcurrentFault::LateOrders,
+        ),
+        case(
+            "the store loses answers",
+            400,
+            ConcurrentFault::StoreLosesAnswers,
         ),
-        case("orders come late", 500, Beside::LateOrders),
+        case("store unreachable", 600, ConcurrentFault::StoreAway),
+        case("cut off at its restart", 300, ConcurrentFault::Cut),
         case(
-            "orders come late to a missed one",
+            "cut off at its restart, slow restart",
             2_000,
-            Beside::LateOrders,
+            ConcurrentFault::Cut,
         ),
-        case("the store loses answers", 400, Beside::StoreLosesAnswers),
-        case("the store is away", 600, Beside::StoreAway),
-        case("cut off as it comes back", 300, Beside::Cut),
-        case("cut off as it comes back, later", 2_000, Beside::Cut),
     ];
-    let mut broken = Vec::new();
+    let mut failed = Vec::new();
     for case in cases {
         for seed in 1..=4 {
-            let found = play(case.reborn_ms, case.beside, seed);
-            if let Some(first) = found.first() {
-                let count = found.len();
-                broken.push(format!(
-                    "{}, seed {seed}: {count}, first {first}",
+            let violations = run_crashes(case.restart_delay_ms, case.concurrent_fault, seed);
+            if let Some(first) = violations.first() {
+                let count = violations.len();
+                failed.push(format!(
+                    "{}, seed {seed}: {count} violations, the first: {first}",
                     case.name
                 ));
             }
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
 
-/// Takes the starts of endpoints out of a row, as the version before wrote it.
-fn without_starts(bytes: &[u8]) -> Vec<u8> {
+/// Removes the start times of endpoints from a row, as the previous version wrote it.
+fn without_start_times(bytes: &[u8]) -> Vec<u8> {
     fn strip(value: &mut Value) {
         match value {
             Value::Map(entries) => {
@@ -208,40 +236,40 @@
 }
 
 #[test]
-fn rows_of_the_version_before_are_taken_over() {
+fn rows_without_start_times_are_read_after_a_takeover() {
     for seed in 1..=8 {
         let mut world = World::new(3, ENDPOINTS, seed);
         world.keep_names();
-        world.reborn_ms = 600;
+        world.restart_delay_ms = 600;
         world.run(1_500);
         let mut next = 1;
         for round in 0..3 {
             let until_ms = world.now + BETWEEN_MS;
             next = submit_until(&mut world, until_ms, next);
-            strike(&mut world, round, Beside::HolderKilled);
-            world.store.rewrite(without_starts);
+            inject_fault(&mut world, round, ConcurrentFault::HolderKilled);
+            world.store.rewrite(without_start_times);
         }
-        settle(&mut world);
+        settle_and_check(&mut world);
         assert_eq!(world.violations, Vec::<String>::new(), "seed {seed}");
     }
 }
 
 #[test]
-fn nothing_new_is_started_where_an_entry_speaks_of_another_life() {
+fn nothing_is_started_while_the_entry_describes_an_earlier_incarnation() {
     struct Case {
         name: &'static str,
-        /// Time for which a restarted endpoint does not reach the store, so that its old entry stands.
+        /// Time for which a restarted endpoint cannot reach the store, so that its old entry stays.
         store_cut_ms: u64,
         used: bool,
     }
     let cases = [
         Case {
-            name: "the entry is its own",
+            name: "entry of its own incarnation",
             store_cut_ms: 0,
             used: true,
         },
         Case {
-            name: "the entry is of before",
+            name: "entry of the previous incarnation",
             store_cut_ms: 3_500,
             used: false,
         },
@@ -249,14 +277,14 @@
     for case in cases {
         let mut world = World::new(3, 1, 7);
         world.keep_names();
-        world.beats = true;
-        world.reborn_ms = 300;
+        world.uses_reported_entries = true;
+        world.restart_delay_ms = 300;
         world.run(4_000);
         let now = world.now;
         let endpoint = world.endpoints.values_mut().next().expect("one");
         endpoint.crash(now, None);
         endpoint.store_cut_until_ms = now + case.store_cut_ms;
-        // It comes back smaller than its old entry says.
+        // It restarts with less CPU than its old entry says.
         endpoint.cpu_milli = 1_000;
         world.run(500);
         world.submit(1, job(4, 5_000, false));
--- a/crates/chervilfall_planner/tests/shapes.rs
+++ b/crates/chervilfall_planner/tests/shapes.rs
@@ -1,4 +1,4 @@
-//! Kinds of jobs: where their tasks may run, when, and how often.
+//! Kinds of jobs: where, when and how often their tasks run.
 
 mod world;
 
@@ -7,14 +7,14 @@
 use chervilfall_planner::{Answer, Asker, JobId, JobSpec, JobState, Request, Step};
 use world::{step, World};
 
-/// Time of day in the world when its clock shows 0.
-const UNIX_MS: u64 = 1_700_000_000_000;
-/// Endpoints on the first rack; the others stand on the second.
+/// Time of day when the simulated clock is at 0.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
+/// Number of endpoints on the first rack; the others are on the second.
 const FIRST_RACK: usize = 2;
 /// Label of one endpoint.
 const SPECIAL: &str = "special";
 
-/// Six endpoints of four cores on two racks; the last one has a label.
+/// Returns a world with six endpoints of four cores on two racks; the last one has a label.
 fn racks() -> World {
     let mut world = World::new(3, 6, 7);
     for (number, endpoint) in world.endpoints.values_mut().enumerate() {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns how many tasks each endpoint has started, in order of the endpoints' names.
+/// Returns the number of starts on each endpoint, in order of the endpoints' names.
 fn starts(world: &World) -> Vec<usize> {
     let endpoints = world.endpoints.values();
     endpoints.map(|endpoint| endpoint.starts.len()).collect()
@@ -55,7 +55,7 @@
     struct Case {
         name: &'static str,
         step: Step,
-        /// Whether the starts on each endpoint are as the step asks.
+        /// Whether the numbers of starts on the endpoints meet the step's requirements.
         fits: fn(&[usize]) -> bool,
     }
     let cases = [
@@ -76,7 +76,7 @@
             fits: |starts| starts == [0; 6],
         },
         Case {
-            name: "near its data as far as there is room",
+            name: "on its preferred rack as far as its resources allow",
             step: Step {
                 affinity: Some("r1".to_owned()),
                 ..step(10, 10_000)
@@ -92,7 +92,7 @@
             fits: |starts| starts == [1; 6],
         },
         Case {
-            name: "a gang on one rack, if one holds it",
+            name: "a gang on one rack, if it fits on one",
             step: Step {
                 gang: true,
                 same_rack: true,
@@ -101,7 +101,7 @@
             fits: |starts| starts[..FIRST_RACK] == [0, 0] && starts.iter().sum::<usize>() == 12,
         },
         Case {
-            name: "a gang on two racks, if none holds it",
+            name: "a gang on two racks, if it fits on none",
             step: Step {
                 gang: true,
                 same_rack: true,
@@ -139,14 +139,14 @@
     let first_due_ms = world.now + 800;
     let spec = JobSpec {
         repeat_count: 3,
-        first_due_unix_ms: UNIX_MS + first_due_ms,
+        first_due_unix_ms: START_UNIX_MS + first_due_ms,
         interval_ms: 600,
         ..job(step(2, 1_000))
     };
     assert_eq!(world.submit(1, spec), Answer::Accepted);
     let holder = world.holder().expect("a holder");
     world.run(1_000);
-    // A successor goes on with the occurrences that are left.
+    // A successor continues with the remaining occurrences.
     world.kill(holder);
     world.run(9_000);
     let mut seen = BTreeSet::new();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_long_running_task_is_started_again_however_it_ends_until_its_job_is_cancelled() {
+fn a_long_running_task_is_restarted_after_any_end_until_its_job_is_cancelled() {
     let mut world = racks();
     let step = Step {
         long_running: true,
@@ -180,9 +180,9 @@
         .endpoints
         .values_mut()
         .find(|endpoint| !endpoint.running.is_empty());
-    lost.expect("one is at work").dead = true;
+    lost.expect("a task is running").dead = true;
     world.run(6_000);
-    // A look at one moment could fall between two runs, which end together every 0.7 s.
+    // The runs end together every 0.7 s, so a count at a single moment could fall between two runs.
     let mut most = 0;
     for _ in 0..140 {
         world.run(5);
@@ -190,7 +190,7 @@
         let running: usize = endpoints.map(|endpoint| endpoint.running.len()).sum();
         most = most.max(running);
     }
-    assert_eq!(most, 3, "of 3 tasks were at work at the same time");
+    assert_eq!(most, 3, "tasks running at the same time");
     assert_eq!(state(&mut world, 1), Answer::State(JobState::Running));
     let cancel = Request::Cancel {
         id: JobId(1),
--- a/crates/chervilfall_planner/tests/haste.rs
+++ b/crates/chervilfall_planner/tests/speed_and_headroom.rs
@@ -1,8 +1,8 @@
-//! Short requests beside batch work that fills the fleet, on endpoints of different speeds.
+//! Latency-sensitive requests next to batch work that fills the fleet, on endpoints of different speeds.
 //!
-//! The pattern: requests whose objective is 1.5 times their work come all the time, next to batch work with a
-//! backlog that can wait for several times its own. Endpoints work at 0.8, 1 and 1.25 of the usual speed, and
-//! now and then one at a fifth.
+//! Requests whose objective is 1.5 times their work arrive continuously, next to a backlog of batch work
+//! that may wait for several times its own work. Endpoints work at 0.8, 1 and 1.25 of the normal speed,
+//! and one of them at a fifth.
 
 mod world;
 
@@ -12,7 +12,7 @@
 const ENDPOINTS: usize = 9;
 const FIRST_SHORT: u64 = 1_000;
 const SHORT_JOBS: u64 = 40;
-/// Work of a short task.
+/// Work of a short task in milliseconds.
 const SHORT_MS: u64 = 640;
 
 fn job(step: Step) -> JobSpec {
@@ -23,7 +23,7 @@
     }
 }
 
-fn patient(queue: &Queue) -> Queue {
+fn latency_tolerant_queue(queue: &Queue) -> Queue {
     Queue {
         name: "patient".to_owned(),
         priority: 2,
@@ -33,7 +33,7 @@
     }
 }
 
-fn short(queue: &Queue) -> Queue {
+fn latency_sensitive_queue(queue: &Queue) -> Queue {
     Queue {
         name: "short".to_owned(),
         priority: 0,
@@ -43,30 +43,30 @@
     }
 }
 
-/// Returns when each short job's first task began after it was handed in.
-fn waits_ms(world: &World, handed_in: &[(u64, u64)]) -> Vec<u64> {
+/// Returns the time from each short job's submission to the start of its first task.
+fn waits_ms(world: &World, submitted: &[(u64, u64)]) -> Vec<u64> {
     let first = |id: u64| {
         let endpoints = world.endpoints.values();
         let starts = endpoints.flat_map(|endpoint| &endpoint.starts);
         let own = starts.filter(|(_, task, _)| task.job == JobId(id));
         own.map(|(at_ms, ..)| *at_ms).min()
     };
-    let waits = handed_in
+    let waits = submitted
         .iter()
         .map(|(id, at_ms)| first(*id).map_or(u64::MAX, |started_ms| started_ms - at_ms));
     waits.collect()
 }
 
-/// Hands short jobs in, one each 150 ms, and returns when.
+/// Submits short jobs, at least 120 ms apart, and returns their ids with the submission times.
 fn submit_short_jobs(world: &mut World, step: &Step) -> Vec<(u64, u64)> {
-    let mut handed_in = Vec::new();
+    let mut submitted = Vec::new();
     for id in FIRST_SHORT..FIRST_SHORT + SHORT_JOBS {
-        handed_in.push((id, world.now));
+        submitted.push((id, world.now));
         assert_eq!(world.submit(id, job(step.clone())), Answer::Accepted);
         world.run(120);
     }
     world.run(2_000);
-    handed_in
+    submitted
 }
 
 #[test]
@@ -74,21 +74,21 @@
     struct Case {
         name: &'static str,
         speed: bool,
-        least_fast_percent: usize,
-        most_lagging: usize,
+        min_fast_percent: usize,
+        max_starts_on_slowest: usize,
     }
     let cases = [
         Case {
-            name: "speeds are looked at",
+            name: "placement by speed",
             speed: true,
-            least_fast_percent: 85,
-            most_lagging: 0,
+            min_fast_percent: 85,
+            max_starts_on_slowest: 0,
         },
         Case {
             name: "without the policy",
             speed: false,
-            least_fast_percent: 0,
-            most_lagging: usize::MAX,
+            min_fast_percent: 0,
+            max_starts_on_slowest: usize::MAX,
         },
     ];
     for case in cases {
@@ -99,14 +99,14 @@
             endpoint.speed_percent = speed_percent;
         }
         world.run(1_500);
-        let usual = world.queue.clone();
-        world.queue = patient(&usual);
+        let standard = world.queue.clone();
+        world.queue = latency_tolerant_queue(&standard);
         for id in 1..=14 {
             assert_eq!(world.submit(id, job(step(30, 900))), Answer::Accepted);
             world.run(1_200);
         }
         world.run(6_000);
-        world.queue = short(&usual);
+        world.queue = latency_sensitive_queue(&standard);
         submit_short_jobs(&mut world, &step(1, SHORT_MS));
         let short_starts = |speed: u64| -> usize {
             let endpoints = world.endpoints.values();
@@ -119,48 +119,52 @@
         let all: usize = [20, 80, 100, 125].into_iter().map(short_starts).sum();
         let fast_percent = short_starts(125) * 100 / all;
         assert!(
-            fast_percent >= case.least_fast_percent,
+            fast_percent >= case.min_fast_percent,
             "{}: {fast_percent}%",
             case.name
         );
-        assert!(short_starts(20) <= case.most_lagging, "{}", case.name);
+        assert!(
+            short_starts(20) <= case.max_starts_on_slowest,
+            "{}",
+            case.name
+        );
         if !case.speed {
             assert!(fast_percent < 85, "{}: {fast_percent}%", case.name);
         }
     }
 }
 
-/// Returns a step whose task takes most of an endpoint.
-fn wide() -> Step {
+/// Returns a step whose task needs most of an endpoint.
+fn wide_step() -> Step {
     Step {
         cpu_milli: 3_000,
         ..step(1, SHORT_MS)
     }
 }
 
-/// Returns a world whose holder knows what short work uses, with batch work wherever it may be; short work is
-/// handed in next.
-fn backlog(headroom: bool) -> World {
+/// Returns a world whose holder has seen the demand of short work, filled with batch work as far as the
+/// policies allow. Its queue is set for short work.
+fn world_with_backlog(headroom: bool) -> World {
     let mut world = World::new(3, ENDPOINTS, 3);
     world.limits.policies.headroom = headroom;
     world.run(1_500);
-    let usual = world.queue.clone();
-    world.queue = short(&usual);
+    let standard = world.queue.clone();
+    world.queue = latency_sensitive_queue(&standard);
     for id in 1..=10 {
-        assert_eq!(world.submit(id, job(wide())), Answer::Accepted);
+        assert_eq!(world.submit(id, job(wide_step())), Answer::Accepted);
         world.run(120);
     }
-    world.queue = patient(&usual);
+    world.queue = latency_tolerant_queue(&standard);
     for id in 101..=112 {
         assert_eq!(world.submit(id, job(step(40, 3_000))), Answer::Accepted);
     }
     world.run(500);
-    world.queue = short(&usual);
+    world.queue = latency_sensitive_queue(&standard);
     world
 }
 
 #[test]
-fn short_work_finds_room_beside_a_backlog() {
+fn short_work_finds_free_resources_beside_a_backlog() {
     struct Case {
         name: &'static str,
         headroom: bool,
@@ -168,7 +172,7 @@
     }
     let cases = [
         Case {
-            name: "patient work leaves holes",
+            name: "latency-tolerant work leaves headroom",
             headroom: true,
             waits_long: false,
         },
@@ -179,9 +183,9 @@
         },
     ];
     for case in cases {
-        let mut world = backlog(case.headroom);
-        let handed_in = submit_short_jobs(&mut world, &wide());
-        let waits = waits_ms(&world, &handed_in);
+        let mut world = world_with_backlog(case.headroom);
+        let submitted = submit_short_jobs(&mut world, &wide_step());
+        let waits = waits_ms(&world, &submitted);
         let soon = waits.iter().filter(|wait_ms| **wait_ms <= 250).count();
         let enough = soon * 10 >= waits.len() * 8;
         assert_eq!(
@@ -196,16 +200,19 @@
 }
 
 #[test]
-fn work_that_lasts_does_not_wait_for_holes_that_are_kept_for_others() {
-    let mut world = backlog(true);
-    world.queue = patient(&world.queue);
-    let lasting = Step {
+fn long_running_work_does_not_wait_for_headroom_reserved_for_others() {
+    let mut world = world_with_backlog(true);
+    world.queue = latency_tolerant_queue(&world.queue);
+    let long_running = Step {
         long_running: true,
-        ..wide()
+        ..wide_step()
     };
-    let handed_in = vec![(FIRST_SHORT, world.now)];
-    assert_eq!(world.submit(FIRST_SHORT, job(lasting)), Answer::Accepted);
+    let submitted = vec![(FIRST_SHORT, world.now)];
+    assert_eq!(
+        world.submit(FIRST_SHORT, job(long_running)),
+        Answer::Accepted
+    );
     world.run(1_000);
-    let waits = waits_ms(&world, &handed_in);
+    let waits = waits_ms(&world, &submitted);
     assert!(waits[0] <= 250, "{waits:?}");
 }
--- a/crates/chervilfall_planner/tests/world/callers.rs
+++ b/crates/chervilfall_planner/tests/world/callers.rs
@@ -1,35 +1,35 @@
-//! Callers of the holder.
+//! Callers that send requests to the holder.
 
 use chervilfall_planner::{Answer, Event, JobId, JobSpec, ReplyTo, Request};
 
 use super::World;
 
 impl World {
-    /// Sends a request to the holder and returns its number.
+    /// Sends a request to the holder and returns the holder and the request's number.
     pub fn request(&mut self, request: Request) -> Option<(usize, u64)> {
         let node = self.holder()?;
         self.next_request += 1;
         let number = self.next_request;
         let to = ReplyTo { node: 0, number };
-        self.feed(node, Event::Request { to, request });
+        self.handle_event(node, Event::Request { to, request });
         Some((node, number))
     }
 
-    /// Sends a request to a node and returns what it answers at once, if it does.
-    pub fn ask_node(&mut self, node: usize, request: Request) -> Option<Answer> {
+    /// Sends a request to a node and returns its answer if it is immediate.
+    pub fn request_to_node(&mut self, node: usize, request: Request) -> Option<Answer> {
         self.next_request += 1;
         let number = self.next_request;
         let to = ReplyTo { node: 0, number };
-        self.feed(node, Event::Request { to, request });
+        self.handle_event(node, Event::Request { to, request });
         self.nodes[node].replies.get(&number).copied()
     }
 
-    /// Hands a job in and waits for the answer.
+    /// Submits a job and waits for the answer.
     pub fn submit(&mut self, id: u64, spec: JobSpec) -> Answer {
         self.submit_for(None, id, spec)
     }
 
-    /// Hands a job in for a client account and waits for the answer.
+    /// Submits a job for a client account and waits for the answer.
     pub fn submit_for(&mut self, account: Option<&str>, id: u64, spec: JobSpec) -> Answer {
         let id = JobId(id);
         self.jobs.insert(id, spec.clone());
@@ -53,7 +53,7 @@
         answer
     }
 
-    /// Asks and waits for the answer.
+    /// Sends a request to the holder and waits for the answer.
     pub fn ask(&mut self, request: Request) -> Answer {
         let Some((node, number)) = self.request(request) else {
             return Answer::Refused { retry_ms: 0 };
--- a/crates/chervilfall_planner/tests/world/endpoint.rs
+++ b/crates/chervilfall_planner/tests/world/endpoint.rs
@@ -1,39 +1,39 @@
-//! An endpoint that starts whatever it is told to, and an oracle for what it is told.
+//! A simulated endpoint, which carries out all orders it receives and records violations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use chervilfall_planner::{
-    EndedRun, EndpointEntry, EndpointId, EndpointKey, HoldAnswer, HoldOrder, HoldReport, How,
+    EndReason, EndedRun, EndpointEntry, EndpointId, EndpointKey, HoldAnswer, HoldOrder, HoldReport,
     JobSpec, Refusal, Run, RunningRun, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskKey,
 };
 
 use super::random::Random;
 
-/// Milliseconds that a stop takes.
+/// Milliseconds from a stop order to the end of the run.
 const STOP_MS: u64 = 200;
-/// Milliseconds between an endpoint's reports of itself.
-const BEAT_MS: u64 = 1_500;
-/// Milliseconds for which processor that an endpoint has lost still counts for starts: a time to be in touch, and a
-/// beat.
-const SHRINK_GRACE_MS: u64 = 3_000 + BEAT_MS;
-/// Longest lease in milliseconds; a longer one is shortened to this.
+/// Milliseconds between two writes of an endpoint's entry in the store.
+const REPORT_INTERVAL_MS: u64 = 1_500;
+/// Milliseconds for which CPU that an endpoint has lost may still be used by starts: 3 s until a node
+/// counts as undisturbed, and one report interval.
+const SHRINK_GRACE_MS: u64 = 3_000 + REPORT_INTERVAL_MS;
+/// Maximum lease in milliseconds; longer ones are shortened to this.
 const LONGEST_LEASE_MS: u64 = 6_000;
-/// Milliseconds that a run takes to resume from a checkpoint.
+/// Milliseconds that a run needs to resume from a checkpoint.
 const RESTORE_MS: u64 = 600;
 
-/// A run at work.
+/// A run in progress.
 pub struct FakeRun {
     pub run: Run,
     pub cpu_milli: u32,
     pub begun_ms: u64,
     pub ends_ms: u64,
-    /// Work that it has from an earlier run, if it saves checkpoints.
+    /// Milliseconds of work restored from a checkpoint; none if the step saves no checkpoints.
     saved_ms: Option<u64>,
     pub fails: bool,
     pub stops_ms: Option<u64>,
-    /// Another member of its gang is gone.
+    /// Another member of its gang has been lost.
     pub broken: bool,
-    /// When it brings its endpoint down.
+    /// When it crashes its endpoint.
     pub crashes_ms: Option<u64>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A hold that waits for an end.
+/// A hold that waits for a run to end, or for its wait time to pass.
 pub struct WaitingHold {
     pub node: usize,
     pub term: u64,
@@ -59,7 +59,7 @@
     answer_by_ms: u64,
 }
 
-/// A hold's answer.
+/// A hold with its answer.
 pub struct AnsweredHold {
     pub node: usize,
     pub term: u64,
@@ -69,16 +69,16 @@
     pub answer: HoldAnswer,
 }
 
-/// Tasks that bring down the endpoints that start them.
+/// How tasks of a job crash the endpoints that run them.
 #[derive(Debug, Clone, Copy)]
-pub struct Crashing {
-    /// How long such a run works first.
+pub struct CrashBehavior {
+    /// Time from the start of such a run to the crash.
     pub after_ms: u64,
-    /// Only the task at this position does; none for all of the job.
+    /// Index of the only task that crashes its endpoint; none if all tasks of the job do.
     pub index: Option<u32>,
 }
 
-/// An endpoint.
+/// A simulated endpoint.
 pub struct FakeEndpoint {
     pub id: EndpointId,
     pub address: String,
@@ -86,54 +86,55 @@
     pub listed: bool,
     pub draining: bool,
     pub dead: bool,
-    /// When it crashed, and the task that brought it down, if one did.
+    /// When it crashed, and the task that caused the crash, if one did.
     pub crashed: Option<(u64, Option<TaskKey>)>,
-    /// The same of the incarnations before that had its name.
+    /// The same for earlier incarnations with the same name.
     past_crashes: Vec<(u64, Option<TaskKey>)>,
-    /// When this incarnation was started, by its own clock of the day; none if each has a name of its own.
+    /// When this incarnation was started, by its own wall clock; none if each incarnation has its own
+    /// name.
     pub born_ms: Option<u64>,
-    /// When this incarnation was started.
+    /// When this incarnation was started, in simulated time.
     pub started_ms: u64,
-    /// Processor that it has had before, and until when.
-    past_rooms: Vec<(u64, u32)>,
-    /// What it last said of itself, where that is not read at once.
+    /// Earlier CPU capacities, each with the time until which it applied.
+    past_capacities: Vec<(u64, u32)>,
+    /// The entry that it last wrote to the store, until it lapses.
     pub reported: Option<EndpointEntry>,
     next_report_ms: u64,
     last_report_ms: u64,
     reports: u64,
-    /// It does not reach the store until then.
+    /// It cannot reach the store until then.
     pub store_cut_until_ms: u64,
-    /// Starts that it had no room for.
+    /// Violations: starts beyond its capacity.
     overfilled: Vec<String>,
-    /// Runs that a crash ended, until the members of their gangs know.
-    pub lost: Vec<(TaskKey, Run)>,
-    /// Tasks that were there when it crashed, for each crash.
-    pub crashed_with: Vec<TaskKey>,
-    /// It has crashed and a new incarnation stands at its address.
+    /// Runs that a crash ended, until the other members of their gangs are ended.
+    pub lost_runs: Vec<(TaskKey, Run)>,
+    /// Tasks that were running at its crashes; once for each crash.
+    pub running_at_crashes: Vec<TaskKey>,
+    /// It has crashed, and a new incarnation has its address.
     pub replaced: bool,
     pub cut_until_ms: u64,
     /// Failure domain.
     pub domain: usize,
     pub fails_all: bool,
-    /// Speed of its work, in percent of the usual one.
+    /// Speed of its work in percent of the normal speed.
     pub speed_percent: u64,
     pub rack: Option<String>,
     pub labels: BTreeSet<String>,
     pub running: BTreeMap<TaskKey, FakeRun>,
     pub starts: Vec<(u64, TaskKey, Run)>,
-    /// Those of them that a node in touch ordered, and that were not carried out late.
-    pub starts_in_touch: Vec<(u64, TaskKey, Run)>,
-    /// Ends whose lease held until they were acknowledged, with the time of the end.
-    pub noted: Vec<(TaskKey, Run, How, u64)>,
-    /// All runs that it has reported as failed, noted or not.
+    /// Starts that an undisturbed node ordered and that were not carried out late.
+    pub starts_by_undisturbed_nodes: Vec<(u64, TaskKey, Run)>,
+    /// Acknowledged ends for which the lease was valid until the acknowledgement, with their times.
+    pub acknowledged_ends: Vec<(TaskKey, Run, EndReason, u64)>,
+    /// All runs that it has reported as failed, acknowledged or not.
     pub failed: Vec<(TaskKey, Run)>,
     ended: Vec<EndedRun>,
-    /// Times of ends by number, as long as the lease has held since.
-    valid: BTreeMap<u64, u64>,
+    /// Times of ends by number; cleared when the lease lapses.
+    ends_under_lease: BTreeMap<u64, u64>,
     next_end: u64,
     fence: u64,
     until_ms: u64,
-    barred: BTreeMap<TaskKey, Run>,
+    highest_barred_runs: BTreeMap<TaskKey, Run>,
     holds: Vec<WaitingHold>,
     clock_offset_ms: u64,
 }
@@ -151,15 +152,15 @@
             past_crashes: Vec::new(),
             born_ms: None,
             started_ms: 0,
-            past_rooms: Vec::new(),
+            past_capacities: Vec::new(),
             reported: None,
             next_report_ms: 0,
             last_report_ms: 0,
             reports: 0,
             store_cut_until_ms: 0,
             overfilled: Vec::new(),
-            lost: Vec::new(),
-            crashed_with: Vec::new(),
+            lost_runs: Vec::new(),
+            running_at_crashes: Vec::new(),
             replaced: false,
             cut_until_ms: 0,
             domain: 0,
@@ -169,15 +170,15 @@
             labels: BTreeSet::new(),
             running: BTreeMap::new(),
             starts: Vec::new(),
-            starts_in_touch: Vec::new(),
-            noted: Vec::new(),
+            starts_by_undisturbed_nodes: Vec::new(),
+            acknowledged_ends: Vec::new(),
             failed: Vec::new(),
             ended: Vec::new(),
-            valid: BTreeMap::new(),
+            ends_under_lease: BTreeMap::new(),
             next_end: 1,
             fence: 0,
             until_ms: 0,
-            barred: BTreeMap::new(),
+            highest_barred_runs: BTreeMap::new(),
             holds: Vec::new(),
             clock_offset_ms: number as u64 * 100_000,
         }
@@ -200,36 +201,38 @@
         }
     }
 
-    /// Has more or less processor from now on.
+    /// Changes the CPU capacity from now on.
     pub fn resize(&mut self, now: u64, cpu_milli: u32) {
-        self.past_rooms.push((now, self.cpu_milli));
+        self.past_capacities.push((now, self.cpu_milli));
         self.cpu_milli = cpu_milli;
     }
 
-    /// Returns the processor that starts may use: what was lost counts for a while, so that the endpoint can say so.
-    fn startable(&self, now: u64) -> u32 {
-        let past = self.past_rooms.iter();
+    /// Returns the CPU that starts may use. Capacity that was lost counts for `SHRINK_GRACE_MS` more, so
+    /// that the endpoint has time to report the change.
+    fn startable_cpu_milli(&self, now: u64) -> u32 {
+        let past = self.past_capacities.iter();
         let recent = past.filter(|(until_ms, _)| until_ms + SHRINK_GRACE_MS > now);
         let recent = recent.map(|(_, cpu)| *cpu).max();
         recent.unwrap_or(0).max(self.cpu_milli)
     }
 
-    /// Says in the store what it is, each beat; an entry that is not renewed lapses.
-    pub fn report(&mut self, now: u64, store_away: bool) {
-        let cut = store_away || self.dead || self.store_cut_until_ms > now;
+    /// Writes its entry to the store at each report interval; an entry lapses after three intervals
+    /// without a write.
+    pub fn write_report(&mut self, now: u64, store_down: bool) {
+        let cut = store_down || self.dead || self.store_cut_until_ms > now;
         if now >= self.next_report_ms && !cut {
-            self.next_report_ms = now + BEAT_MS;
+            self.next_report_ms = now + REPORT_INTERVAL_MS;
             self.last_report_ms = now;
             self.reports += 1;
             self.reported = Some(self.entry());
         }
-        if now >= self.last_report_ms + 3 * BEAT_MS && !store_away {
+        if now >= self.last_report_ms + 3 * REPORT_INTERVAL_MS && !store_down {
             self.reported = None;
         }
     }
 
-    /// Returns the incarnation that follows a crash at the same place.
-    pub fn reborn(&self, number: usize) -> Self {
+    /// Returns the incarnation that replaces it after a crash, under a new name at the same address.
+    pub fn next_incarnation(&self, number: usize) -> Self {
         Self {
             address: self.address.clone(),
             domain: self.domain,
@@ -239,41 +242,43 @@
         }
     }
 
-    /// Starts again under its name after a crash: it knows nothing of before, and counts from the beginning.
+    /// Restarts under the same name after a crash, without any earlier state and with numbering from
+    /// the beginning.
     pub fn start_again(&mut self, now: u64, born_ms: u64, clock_offset_ms: u64) {
         self.dead = false;
         self.past_crashes.extend(self.crashed.take());
-        self.past_rooms.clear();
+        self.past_capacities.clear();
         self.born_ms = Some(born_ms);
         self.started_ms = now;
         self.clock_offset_ms = clock_offset_ms;
         self.next_report_ms = now;
         self.reports = 0;
         self.ended.clear();
-        self.valid.clear();
+        self.ends_under_lease.clear();
         self.next_end = 1;
         self.fence = 0;
         self.until_ms = 0;
-        self.barred.clear();
+        self.highest_barred_runs.clear();
     }
 
-    /// Returns when it crashed in all its lives, and which task brought it down.
+    /// Returns the crashes of all its incarnations: when, and caused by which task.
     pub fn crashes(&self) -> impl Iterator<Item = (u64, Option<TaskKey>)> + '_ {
         self.past_crashes.iter().copied().chain(self.crashed)
     }
 
-    /// Crashes: nothing that ran there is left, and nobody is told.
+    /// Crashes: all runs are lost, and no ends are reported.
     pub fn crash(&mut self, now: u64, culprit: Option<TaskKey>) {
         if !self.dead {
             self.dead = true;
             self.crashed = Some((now, culprit));
-            self.crashed_with.extend(self.running.keys().copied());
-            let lost = std::mem::take(&mut self.running).into_iter();
-            self.lost = lost.map(|(task, run)| (task, run.run)).collect();
+            self.running_at_crashes.extend(self.running.keys().copied());
+            let lost_runs = std::mem::take(&mut self.running).into_iter();
+            self.lost_runs = lost_runs.map(|(task, run)| (task, run.run)).collect();
         }
     }
 
-    /// Its clock is two percent slow, and counts from its start.
+    /// Returns its monotonic clock, which runs two percent slow and counts from its start plus an
+    /// offset.
     fn clock(&self, now: u64) -> u64 {
         let age_ms = now - self.started_ms;
         age_ms - age_ms / 50 + self.clock_offset_ms
@@ -284,9 +289,9 @@
         self.until_ms = self.until_ms.max(until_ms);
     }
 
-    fn end(&mut self, now: u64, task: TaskKey, run: Run, how: How, checkpoint: String) {
-        self.valid.insert(self.next_end, now);
-        if how == How::Failed {
+    fn end(&mut self, now: u64, task: TaskKey, run: Run, how: EndReason, checkpoint: String) {
+        self.ends_under_lease.insert(self.next_end, now);
+        if how == EndReason::Failed {
             self.failed.push((task, run));
         }
         self.ended.push(EndedRun {
@@ -299,7 +304,7 @@
         self.next_end += 1;
     }
 
-    pub fn pass(&mut self, now: u64, violations: &mut Vec<String>) {
+    pub fn advance(&mut self, now: u64, violations: &mut Vec<String>) {
         let culprit = self
             .running
             .iter()
@@ -314,22 +319,22 @@
         }
         let lapsed = self.clock(now) >= self.until_ms;
         if lapsed {
-            self.valid.clear();
+            self.ends_under_lease.clear();
         }
-        let due: Vec<(TaskKey, How)> = self
+        let due: Vec<(TaskKey, EndReason)> = self
             .running
             .iter()
             .filter_map(|(task, run)| {
                 let how = if lapsed {
-                    How::Lapsed
+                    EndReason::Lapsed
                 } else if run.broken {
-                    How::Broken
+                    EndReason::Broken
                 } else if run.stops_ms.is_some_and(|at| now >= at) {
-                    How::Stopped
+                    EndReason::Stopped
                 } else if now >= run.ends_ms && (run.fails || self.fails_all) {
-                    How::Failed
+                    EndReason::Failed
                 } else if now >= run.ends_ms {
-                    How::Done
+                    EndReason::Done
                 } else {
                     return None;
                 };
@@ -339,20 +344,20 @@
         for (task, how) in due {
             let ended = self.running.remove(&task).expect("listed");
             let run = ended.run;
-            let checkpoint = if how == How::Stopped {
+            let checkpoint = if how == EndReason::Stopped {
                 ended.checkpoint(now)
             } else {
                 String::new()
             };
-            let barred = self.barred.entry(task).or_insert(0);
+            let barred = self.highest_barred_runs.entry(task).or_insert(0);
             *barred = (*barred).max(run);
             self.end(now, task, run, how, checkpoint);
         }
         let used: u32 = self.running.values().map(|run| run.cpu_milli).sum();
-        let past = self.past_rooms.iter().map(|(_, cpu)| *cpu).max();
+        let past = self.past_capacities.iter().map(|(_, cpu)| *cpu).max();
         let most = past.unwrap_or(0).max(self.cpu_milli);
         if used > most {
-            violations.push(format!("{} carries {used} of {most} at {now}", self.id));
+            violations.push(format!("{} runs {used} of {most} mCPU at {now}", self.id));
         }
         violations.append(&mut self.overfilled);
     }
@@ -362,7 +367,7 @@
         now: u64,
         order: &StartOrder,
         spec: Option<&JobSpec>,
-        crashing: Option<Crashing>,
+        crashing: Option<CrashBehavior>,
         random: &mut Random,
     ) -> StartAnswer {
         if order.fence < self.fence {
@@ -377,7 +382,7 @@
             return StartAnswer::Accepted;
         }
         let barred = self
-            .barred
+            .highest_barred_runs
             .get(&order.task)
             .is_some_and(|run| *run >= order.run);
         if barred {
@@ -398,11 +403,11 @@
         self.starts.push((now, order.task, order.run));
         let used: u32 = self.running.values().map(|run| run.cpu_milli).sum();
         let used = used + step.map_or(0, |step| step.cpu_milli);
-        let startable = self.startable(now);
-        if used > startable {
+        let startable_cpu_milli = self.startable_cpu_milli(now);
+        if used > startable_cpu_milli {
             let task = order.task;
             let line = format!(
-                "{task} brings {} to {used} of {startable} at {now}",
+                "{task} fills {} to {used} of {startable_cpu_milli} mCPU at {now}",
                 self.id
             );
             self.overfilled.push(line);
@@ -431,7 +436,7 @@
             return StopAnswer::Fenced;
         }
         self.fence = order.fence;
-        let barred = self.barred.entry(order.task).or_insert(0);
+        let barred = self.highest_barred_runs.entry(order.task).or_insert(0);
         *barred = (*barred).max(order.run);
         if let Some(run) = self
             .running
@@ -467,8 +472,9 @@
             .iter()
             .filter(|end| end.number <= order.acknowledged)
         {
-            if let Some(at_ms) = self.valid.get(&end.number) {
-                self.noted.push((end.task, end.run, end.how, *at_ms));
+            if let Some(at_ms) = self.ends_under_lease.get(&end.number) {
+                self.acknowledged_ends
+                    .push((end.task, end.run, end.how, *at_ms));
             }
         }
         self.ended.retain(|end| end.number > order.acknowledged);
--- a/crates/chervilfall_planner/tests/world/mod.rs
+++ b/crates/chervilfall_planner/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A small world in virtual time for planners: a store, endpoints, an advice service, and an
-//! oracle that looks at what endpoints and callers see.
+//! A simulation of planners in virtual time: nodes, a store, endpoints, an advice service, and an
+//! oracle that checks what endpoints and callers observe.
 
 #![allow(dead_code)]
 
@@ -16,30 +16,30 @@
 use std::time::Duration;
 
 use chervilfall_planner::{
-    Action, AdviceTerms, Answer, Batch, Candidate, Configuration, EndpointId, EndpointKey, Event,
+    Action, AdviceTimings, Answer, Batch, Candidate, Configuration, EndpointId, EndpointKey, Event,
     Identity, JobId, JobSpec, Limits, Planner, Queue, StartNote, Step, TaskKey,
 };
 
-use endpoint::{Crashing, FakeEndpoint};
+use endpoint::{CrashBehavior, FakeEndpoint};
 use random::Random;
 use store::FakeStore;
 
-/// Milliseconds that an order or a transaction takes each way.
-const HOP_MS: u64 = 2;
-/// Time of day when the world begins, in milliseconds since 1970.
-const UNIX_MS: u64 = 1_700_000_000_000;
-/// Milliseconds after which a caller of an endpoint or the store gives up.
+/// One-way network delay of an order or a transaction, in milliseconds.
+const ONE_WAY_DELAY_MS: u64 = 2;
+/// Time of day at the start of the simulation, in milliseconds since 1970.
+const START_UNIX_MS: u64 = 1_700_000_000_000;
+/// Milliseconds after which a call to an endpoint or to the store times out.
 const TIMEOUT_MS: u64 = 500;
 
-/// Something that happens later.
+/// Something that is due at a later time.
 #[derive(Debug, Clone)]
-pub enum Later {
-    /// An order reaches its endpoint.
-    Arrive(usize, u64, Box<Action>, u64),
-    /// An event reaches a planner of a term.
-    Tell(usize, u64, Box<Event>),
-    /// A transaction reaches the store.
-    Commit(usize, u64, Box<Batch>, bool),
+pub enum ScheduledEvent {
+    /// An order reaches its endpoint: sending node, its term, the order, when it was sent.
+    DeliverOrder(usize, u64, Box<Action>, u64),
+    /// An event reaches a node's planner, if it still has this term.
+    DeliverEvent(usize, u64, Box<Event>),
+    /// A transaction of a node and term reaches the store; the flag tells whether it is answered.
+    ApplyCommit(usize, u64, Box<Batch>, bool),
 }
 
 /// A node that may hold the group.
@@ -49,17 +49,17 @@
     pub frozen_until_ms: u64,
     pub cut_until_ms: u64,
     pub store_cut_until_ms: u64,
-    /// When its process was started after a kill.
+    /// When its process was last started after a kill.
     pub began_ms: u64,
-    /// Failure domain; the store stands in domain 0.
+    /// Failure domain; the store is in domain 0.
     pub domain: usize,
     pub replies: BTreeMap<u64, Answer>,
-    /// What it has started as a holder and could not store.
+    /// Starts that it ordered as the holder and could not store.
     pub unstored: Vec<StartNote>,
     pub keys: BTreeMap<EndpointKey, EndpointId>,
 }
 
-/// The world.
+/// The simulation: all nodes, the store, the endpoints and the faults in force.
 pub struct World {
     pub now: u64,
     pub limits: Limits,
@@ -68,43 +68,43 @@
     pub endpoints: BTreeMap<EndpointId, FakeEndpoint>,
     pub config: Arc<Configuration>,
     pub queue: Queue,
-    pub later: BTreeMap<(u64, u64), Later>,
+    pub scheduled: BTreeMap<(u64, u64), ScheduledEvent>,
     pub sequence: u64,
     pub random: Random,
-    /// Part of the orders, in percent, that get no answer and are carried out late.
+    /// Percentage of orders that are not answered and are carried out late.
     pub late_percent: u64,
-    /// When an answer of the store could last be lost.
+    /// Last time at which an answer of the store could be lost.
     store_lossy_ms: u64,
-    /// Failure domains are cut off from each other until then.
-    pub split_until_ms: u64,
-    /// Tasks that are done, by noted ends.
+    /// Failure domains cannot reach each other until then.
+    pub partitioned_until_ms: u64,
+    /// Broken invariants that were found so far.
     pub violations: Vec<String>,
-    /// Faults and takeovers, for stories.
+    /// Faults and takeovers, for [`World::event_log`].
     pub faults: Vec<(u64, String)>,
     /// Nodes that can call for advice.
     pub advisors: u32,
-    /// Calls for advice take as long as the queue's terms say, in place of 15 ms.
+    /// Calls for advice take as long as the queue's timings say, instead of 15 ms.
     pub advice_timed: bool,
-    /// Part of the endpoints, in percent, that the advice service allows a step.
+    /// Percentage of endpoints that the advice service allows a step.
     pub advice_percent: u64,
-    /// Time that planners took for their events.
+    /// Processor time that planners spent on their events.
     pub planning: Duration,
     pub jobs: BTreeMap<JobId, JobSpec>,
     pub accepted: BTreeSet<JobId>,
     pub refused: BTreeSet<JobId>,
     pub cancelled: BTreeSet<JobId>,
-    /// Jobs whose tasks bring their endpoints down.
-    pub crashing: BTreeMap<JobId, Crashing>,
-    /// The list shows what endpoints have last said of themselves, in place of what they are.
-    pub beats: bool,
-    /// Crashed endpoints come back after this time.
-    pub reborn_ms: u64,
-    /// They start again under the name that they had.
+    /// Jobs whose tasks crash their endpoints.
+    pub crashing: BTreeMap<JobId, CrashBehavior>,
+    /// Planners read the last entry that an endpoint has written, instead of its current state.
+    pub uses_reported_entries: bool,
+    /// Crashed endpoints are replaced after this time.
+    pub restart_delay_ms: u64,
+    /// Replacements of crashed endpoints keep their name.
     keeps_names: bool,
     next_request: u64,
 }
 
-/// Returns a step of tasks of one core each.
+/// Returns a step whose tasks need one core each.
 pub fn step(count: u32, work_ms: u64) -> Step {
     Step {
         count,
@@ -124,7 +124,7 @@
             attempts: 2,
             stretch: 2.0,
             target_latency_ms: 1_000,
-            advice: Some(AdviceTerms {
+            advice: Some(AdviceTimings {
                 decide_ms: 10.0,
                 each_ms: 0.1,
                 valid_ms: 1_500,
@@ -160,12 +160,12 @@
             endpoints: endpoints.collect(),
             config: Arc::new(config),
             queue,
-            later: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             sequence: 0,
             random: Random::new(seed),
             late_percent: 0,
             store_lossy_ms: 0,
-            split_until_ms: 0,
+            partitioned_until_ms: 0,
             violations: Vec::new(),
             faults: Vec::new(),
             advisors: 4,
@@ -177,45 +177,49 @@
             refused: BTreeSet::new(),
             cancelled: BTreeSet::new(),
             crashing: BTreeMap::new(),
-            beats: false,
-            reborn_ms: 4_000,
+            uses_reported_entries: false,
+            restart_delay_ms: 4_000,
             keeps_names: false,
             next_request: 0,
         }
     }
 
-    fn after(&mut self, delay_ms: u64, later: Later) {
+    fn schedule(&mut self, delay_ms: u64, event: ScheduledEvent) {
         self.sequence += 1;
-        self.later
-            .insert((self.now + delay_ms, self.sequence), later);
+        self.scheduled
+            .insert((self.now + delay_ms, self.sequence), event);
     }
 
-    /// Lets time pass.
+    /// Advances the simulation by this time.
     pub fn run(&mut self, for_ms: u64) {
         let end = self.now + for_ms;
         while self.now < end {
             self.now += 5;
-            if self.store.lost_percent > 0 {
+            if self.store.lost_answer_percent > 0 {
                 self.store_lossy_ms = self.now;
             }
-            self.happen();
+            self.deliver_due_events();
             let now = self.now;
-            let store_away = self.store.down_until_ms > now;
+            let store_down = self.store.down_until_ms > now;
             for endpoint in self.endpoints.values_mut() {
-                endpoint.pass(now, &mut self.violations);
-                endpoint.report(now, store_away);
+                endpoint.advance(now, &mut self.violations);
+                endpoint.write_report(now, store_down);
             }
-            self.break_gangs();
-            self.bring_back();
+            self.break_gangs_with_lost_members();
+            self.restart_crashed_endpoints();
             self.answer_holds();
             for node in 0..self.nodes.len() {
-                self.drive(node);
+                self.run_node(node);
             }
             self.check();
         }
     }
 
-    /// Lets time pass until `done` holds; panics with the violations if it does not in time.
+    /// Advances the simulation until `done` holds.
+    ///
+    /// # Panics
+    ///
+    /// Panics with the violations found if `done` does not hold within `bound_ms`.
     pub fn run_until(&mut self, bound_ms: u64, done: impl Fn(&Self) -> bool) {
         let end = self.now + bound_ms;
         while self.now < end {
@@ -230,20 +234,22 @@
         );
     }
 
-    fn happen(&mut self) {
-        while let Some(entry) = self.later.first_entry() {
+    fn deliver_due_events(&mut self) {
+        while let Some(entry) = self.scheduled.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             match entry.remove() {
-                Later::Arrive(node, term, action, sent_ms) => {
-                    self.arrive(node, term, *action, sent_ms);
+                ScheduledEvent::DeliverOrder(node, term, action, sent_ms) => {
+                    self.deliver_order(node, term, *action, sent_ms);
                 }
-                Later::Tell(node, term, event) => self.tell(node, term, *event),
-                Later::Commit(node, term, batch, answered) => {
+                ScheduledEvent::DeliverEvent(node, term, event) => {
+                    self.deliver_event(node, term, *event);
+                }
+                ScheduledEvent::ApplyCommit(node, term, batch, answered) => {
                     let outcome = self.store.commit(self.now, &batch);
                     if answered && self.now < self.store.down_until_ms {
-                        // The store went away while the call was on its way.
+                        // The store became unreachable while the call was in flight.
                         continue;
                     }
                     if answered {
@@ -253,19 +259,22 @@
                             copy,
                             outcome,
                         };
-                        self.after(HOP_MS, Later::Tell(node, term, Box::new(event)));
+                        self.schedule(
+                            ONE_WAY_DELAY_MS,
+                            ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+                        );
                     }
                 }
             }
         }
     }
 
-    /// Ends the members of gangs of which one was lost in a crash.
-    fn break_gangs(&mut self) {
+    /// Ends the remaining members of gangs that have lost a member in a crash.
+    fn break_gangs_with_lost_members(&mut self) {
         let crashed = self.endpoints.values_mut();
-        let lost = crashed.flat_map(|endpoint| std::mem::take(&mut endpoint.lost));
-        let lost: Vec<_> = lost.collect();
-        for (member, run) in lost {
+        let lost_runs = crashed.flat_map(|endpoint| std::mem::take(&mut endpoint.lost_runs));
+        let lost_runs: Vec<_> = lost_runs.collect();
+        for (member, run) in lost_runs {
             let steps = self.jobs.get(&member.job).map(|job| &job.steps);
             let step = steps.and_then(|steps| steps.get(usize::from(member.step)));
             if !step.is_some_and(|step| step.gang) {
@@ -280,44 +289,44 @@
         }
     }
 
-    /// Puts a new incarnation in the place of each endpoint that crashed some time ago.
-    fn bring_back(&mut self) {
-        let (now, reborn_ms) = (self.now, self.reborn_ms);
+    /// Starts a new incarnation of each endpoint that crashed at least `restart_delay_ms` ago.
+    fn restart_crashed_endpoints(&mut self) {
+        let (now, restart_delay_ms) = (self.now, self.restart_delay_ms);
         let due = self.endpoints.values_mut().filter(|endpoint| {
             let crashed = endpoint.crashed;
-            !endpoint.replaced && crashed.is_some_and(|(at_ms, _)| now >= at_ms + reborn_ms)
+            !endpoint.replaced && crashed.is_some_and(|(at_ms, _)| now >= at_ms + restart_delay_ms)
         });
-        let mut back = Vec::new();
+        let mut replacements = Vec::new();
         for endpoint in due {
             if self.keeps_names {
-                // The time of day may have stepped back since the last start.
+                // The wall clock may have been set back since the last start.
                 let stepped_ms = self.random.below(2) * self.random.below(20_000);
-                let born_ms = UNIX_MS + now - stepped_ms;
+                let born_ms = START_UNIX_MS + now - stepped_ms;
                 endpoint.start_again(now, born_ms, self.random.below(200_000));
                 self.faults
-                    .push((now, format!("fault {} has started again", endpoint.id)));
+                    .push((now, format!("fault {} has restarted", endpoint.id)));
                 continue;
             }
             endpoint.replaced = true;
             endpoint.listed = false;
-            back.push(endpoint.reborn(0));
+            replacements.push(endpoint.next_incarnation(0));
         }
-        for endpoint in back {
+        for endpoint in replacements {
             let number = self.endpoints.len();
-            let endpoint = endpoint.reborn(number);
+            let endpoint = endpoint.next_incarnation(number);
             self.endpoints.insert(endpoint.id.clone(), endpoint);
         }
     }
 
-    /// Lets endpoints keep their names when they start again, and say when they were started.
+    /// Makes endpoints keep their names when they restart, and report when they were started.
     pub fn keep_names(&mut self) {
         self.keeps_names = true;
         for endpoint in self.endpoints.values_mut() {
-            endpoint.born_ms = Some(UNIX_MS);
+            endpoint.born_ms = Some(START_UNIX_MS);
         }
     }
 
-    /// Returns the starts of a task, and the crashes that it caused, in order of time.
+    /// Returns the times of a task's starts and of the crashes that it caused, each in order.
     pub fn starts_and_crashes(&self, task: TaskKey) -> (Vec<u64>, Vec<u64>) {
         let starts = self
             .endpoints
@@ -333,7 +342,7 @@
         (starts, crashes)
     }
 
-    /// Returns how many starts a job has had, and how many endpoints it has crashed.
+    /// Returns the number of starts of a job's tasks and of the crashes that they caused.
     pub fn starts_and_crashes_of(&self, job: JobId) -> (usize, usize) {
         let starts = self
             .endpoints
@@ -345,33 +354,36 @@
         (starts, culprits.filter(|task| task.job == job).count())
     }
 
-    /// Returns how many endpoints have crashed under one task of a job, whoever caused it.
-    pub fn most_crashes_under(&self, job: JobId) -> usize {
-        oracle::most_crashes_under(&self.endpoints, job)
+    /// Returns the highest number of endpoint crashes during runs of one task of a job, whatever
+    /// caused them.
+    pub fn max_crashes_under(&self, job: JobId) -> usize {
+        oracle::max_crashes_under(&self.endpoints, job)
     }
 
-    /// Returns whether a task of the job has failed as often as its queue allows, by what endpoints have reported.
+    /// Returns whether a task of the job has used all attempts of its queue, according to the
+    /// failures that endpoints have reported.
     pub fn has_used_attempts(&self, job: JobId) -> bool {
         let attempts = self.queue.attempts as usize;
         oracle::has_used_attempts(&self.endpoints, &self.jobs, job, attempts)
     }
 
     fn check(&mut self) {
-        oracle::overlaps(self.endpoints.values(), self.now, &mut self.violations);
+        oracle::check_overlaps(self.endpoints.values(), self.now, &mut self.violations);
     }
 
-    /// Returns what was seen of every task that a violation names, in order of time.
-    pub fn story(&self) -> String {
+    /// Returns the starts and ends of every task and endpoint that a violation names, and all faults,
+    /// in order of time.
+    pub fn event_log(&self) -> String {
         let mut lines: Vec<(u64, String)> = Vec::new();
         for endpoint in self.endpoints.values() {
             let id = &endpoint.id;
             for (at_ms, task, run) in &endpoint.starts {
                 lines.push((*at_ms, format!("{task} run {run} starts on {id}")));
             }
-            for (task, run, how, at_ms) in &endpoint.noted {
+            for (task, run, how, at_ms) in &endpoint.acknowledged_ends {
                 lines.push((
                     *at_ms,
-                    format!("{task} run {run} ends {how:?} on {id}, noted"),
+                    format!("{task} run {run} ends {how:?} on {id}, acknowledged"),
                 ));
             }
         }
@@ -392,16 +404,16 @@
         lines.join("\n")
     }
 
-    /// Looks at the whole history.
+    /// Checks the whole history for violations.
     pub fn check_history(&mut self) {
         let attempts = self.queue.attempts as usize;
-        oracle::history(
+        oracle::check_history(
             self.endpoints.values(),
             attempts,
             &self.refused,
             &mut self.violations,
         );
-        oracle::crashes(&self.endpoints, &mut self.violations);
+        oracle::check_crashes(&self.endpoints, &mut self.violations);
     }
 
     /// Returns the node that holds the group, if one does.
@@ -413,7 +425,7 @@
             .map(|(_, number)| number)
     }
 
-    /// Kills a node's process; it starts anew at once.
+    /// Kills a node's process, which restarts at once.
     pub fn kill(&mut self, node: usize) {
         let incarnation = 1_000 + self.sequence;
         let state = &mut self.nodes[node];
--- a/crates/chervilfall_planner/tests/world/nodes.rs
+++ b/crates/chervilfall_planner/tests/world/nodes.rs
@@ -1,27 +1,30 @@
-//! Nodes: planners, candidates, and what their actions become.
+//! Nodes: their planners and candidates, and how the planners' actions are carried out.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 use std::time::Instant;
 
 use chervilfall_planner::{
-    decode_text, Action, AdviceAnswer, Batch, CandidateMove, CommitOutcome, EndpointEntry,
-    EndpointId, Event, HolderRow, JobId, JobRow, Look, Planner, ProgressRow, RosterEntry, Stall,
-    StartsRow, Stored,
+    decode_text, Action, AdviceAnswer, Batch, CandidateAction, CommitOutcome, EndpointEntry,
+    EndpointId, Event, HolderRow, JobId, JobRow, LookupResult, Planner, ProgressRow, RosterEntry,
+    StallTimeouts, StartsRow, StoredGroup,
 };
 
 use super::endpoint::FakeEndpoint;
 use super::random::Random;
-use super::{Later, World, HOP_MS, TIMEOUT_MS, UNIX_MS};
+use super::{ScheduledEvent, World, ONE_WAY_DELAY_MS, START_UNIX_MS, TIMEOUT_MS};
 
-/// Time that a new holder takes at most to read what it can do without until then.
-const HISTORY_MS: u64 = 1_500;
+/// Maximum time that a new holder takes to read the tables that it does not need at once.
+const HISTORY_READ_MS: u64 = 1_500;
 
 impl World {
-    pub(super) fn tell(&mut self, node: usize, term: u64, event: Event) {
+    pub(super) fn deliver_event(&mut self, node: usize, term: u64, event: Event) {
         if self.nodes[node].frozen_until_ms > self.now {
             let wait_ms = self.nodes[node].frozen_until_ms - self.now;
-            self.after(wait_ms, Later::Tell(node, term, Box::new(event)));
+            self.schedule(
+                wait_ms,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+            );
             return;
         }
         if self.nodes[node]
@@ -29,19 +32,19 @@
             .as_ref()
             .is_some_and(|planner| planner.term() == term)
         {
-            self.feed(node, event);
+            self.handle_event(node, event);
         }
     }
 
-    pub(super) fn drive(&mut self, node: usize) {
+    pub(super) fn run_node(&mut self, node: usize) {
         if self.nodes[node].frozen_until_ms > self.now {
             return;
         }
-        self.tell_unstored(node);
+        self.forward_unstored_starts(node);
         if self.nodes[node].planner.is_some() {
             if self.now % 500 == 0 && self.store_reachable(node) {
                 let entries = self.endpoints.values().filter(|endpoint| endpoint.listed);
-                let entries = if self.beats {
+                let entries = if self.uses_reported_entries {
                     entries
                         .filter_map(|endpoint| endpoint.reported.clone())
                         .collect()
@@ -54,56 +57,56 @@
                     entries.map(entry).collect()
                 };
                 let read_ms = self.now;
-                self.feed(node, Event::Endpoints { read_ms, entries });
+                self.handle_event(node, Event::Endpoints { read_ms, entries });
             }
             if self.now % 10 == 0 {
-                let unix_ms = UNIX_MS + self.now;
-                self.feed(node, Event::Tick { unix_ms });
+                let unix_ms = START_UNIX_MS + self.now;
+                self.handle_event(node, Event::Tick { unix_ms });
             }
             return;
         }
         if self.now % 200 == (node as u64 * 35) % 200 / 5 * 5 {
             if self.store_reachable(node) {
-                self.watch_claim(node);
+                self.observe_claim(node);
             } else {
-                self.nodes[node].candidate.unreadable();
+                self.nodes[node].candidate.record_unreadable();
             }
         }
     }
 
-    /// Tells the holder, once a link to it can work, what this node has started and could not store.
-    fn tell_unstored(&mut self, node: usize) {
+    /// Forwards this node's starts that it could not store to the holder, once a link to it can work.
+    fn forward_unstored_starts(&mut self, node: usize) {
         let Some(holder) = self.holder() else {
             return;
         };
-        let split =
-            self.split_until_ms > self.now && self.nodes[node].domain != self.nodes[holder].domain;
+        let split = self.partitioned_until_ms > self.now
+            && self.nodes[node].domain != self.nodes[holder].domain;
         let frozen = self.nodes[holder].frozen_until_ms > self.now;
         if !split && !frozen && !self.nodes[node].unstored.is_empty() {
             let starts = std::mem::take(&mut self.nodes[node].unstored);
-            self.feed(holder, Event::UnstoredStarts(starts));
+            self.handle_event(holder, Event::UnstoredStarts(starts));
         }
     }
 
     pub(super) fn store_reachable(&self, node: usize) -> bool {
-        let split = self.split_until_ms > self.now && self.nodes[node].domain != 0;
+        let split = self.partitioned_until_ms > self.now && self.nodes[node].domain != 0;
         self.store.down_until_ms <= self.now
             && self.nodes[node].store_cut_until_ms <= self.now
             && !split
     }
 
-    pub(super) fn watch_claim(&mut self, node: usize) {
+    pub(super) fn observe_claim(&mut self, node: usize) {
         let (version, bytes) = self.store.row("claims", "holder");
         let row = bytes.map(|bytes| HolderRow::decode(&bytes).expect("claim row"));
-        let stall = Stall {
-            unsaid_ms: 1_500,
+        let stall = StallTimeouts {
+            unreported_ms: 1_500,
             refused_ms: 100,
             slow_ms: 0,
         };
         let moved = self.nodes[node]
             .candidate
             .observe(self.now, self.now, version, row, &stall);
-        let CandidateMove::Claim(batch, row) = moved else {
+        let CandidateAction::Claim(batch, row) = moved else {
             return;
         };
         let CommitOutcome::Stored { version, .. } = self.store.commit(self.now, &batch) else {
@@ -123,7 +126,8 @@
         self.read_history(node);
     }
 
-    /// Tells a new holder in several parts, and some time after its takeover, what it can do without until then.
+    /// Delivers the texts and ended jobs to a new holder, in several parts and some time after its
+    /// takeover.
     fn read_history(&mut self, node: usize) {
         let term = self.nodes[node].planner.as_ref().map_or(0, Planner::term);
         let parse = |key: &String| key.parse::<JobId>().expect("job id");
@@ -138,7 +142,7 @@
             (parse(key), row)
         });
         let (texts, ended): (Vec<_>, Vec<_>) = (texts.collect(), ended.collect());
-        // A generator of its own, so that older seeds stand for the same plays.
+        // A separate generator, so that existing seeds reproduce the same histories.
         let mut random = Random::new(self.now + term);
         let mut at_ms = 0;
         let mut events: Vec<Event> = Vec::new();
@@ -146,10 +150,13 @@
         events.push(Event::TextsRead);
         events.extend(ended.chunks(3).map(|part| Event::Ended(part.to_vec())));
         events.push(Event::HistoryRead);
-        let most_ms = HISTORY_MS / events.len() as u64 + 1;
+        let most_ms = HISTORY_READ_MS / events.len() as u64 + 1;
         for event in events {
             at_ms += random.below(most_ms);
-            self.after(at_ms, Later::Tell(node, term, Box::new(event)));
+            self.schedule(
+                at_ms,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+            );
         }
     }
 
@@ -158,30 +165,38 @@
         let row = row.filter(|_| self.store_reachable(node));
         let text = row.map(|value| Arc::from(decode_text(&value).expect("text")));
         let event = Event::TextRead { id, text };
-        self.after(2 * HOP_MS, Later::Tell(node, term, Box::new(event)));
+        self.schedule(
+            2 * ONE_WAY_DELAY_MS,
+            ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+        );
     }
 
-    /// Answers a look at the row of an ended job.
+    /// Answers a lookup of an ended job's row.
     fn look_up(&mut self, node: usize, term: u64, id: JobId) {
         let look = if self.store_reachable(node) {
             match self.store.row("ended", &id.to_string()) {
-                (_, Some(value)) => Look::Ended(ProgressRow::decode(&value).expect("an end")),
-                (_, None) => Look::Absent,
+                (_, Some(value)) => {
+                    LookupResult::Ended(ProgressRow::decode(&value).expect("an end"))
+                }
+                (_, None) => LookupResult::Absent,
             }
         } else {
-            Look::Failed
+            LookupResult::Failed
         };
         let event = Event::LookedUp { id, look };
-        self.after(2 * HOP_MS, Later::Tell(node, term, Box::new(event)));
+        self.schedule(
+            2 * ONE_WAY_DELAY_MS,
+            ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+        );
     }
 
-    pub(super) fn stored(&self) -> Stored {
+    pub(super) fn stored(&self) -> StoredGroup {
         let parse = |key: &String| key.parse::<JobId>().expect("job id");
         let jobs = self.store.table("jobs");
         let progress = self.store.table("progress");
         let roster = self.store.table("roster");
         let starts = self.store.table("starts");
-        Stored {
+        StoredGroup {
             jobs: jobs
                 .iter()
                 .map(|(key, value)| (parse(key), JobRow::decode(value).expect("job")))
@@ -204,7 +219,7 @@
         }
     }
 
-    pub fn feed(&mut self, node: usize, event: Event) {
+    pub fn handle_event(&mut self, node: usize, event: Event) {
         let now = self.now;
         let Some(planner) = &mut self.nodes[node].planner else {
             return;
@@ -228,7 +243,7 @@
                 let granted = order
                     .endpoints
                     .iter()
-                    .filter(|id| self.allows(&order.step, id))
+                    .filter(|id| self.is_endpoint_allowed(&order.step, id))
                     .map(|id| (id.clone(), "ticket".to_owned()));
                 let answer = AdviceAnswer::Granted(granted.collect());
                 let number = order.number;
@@ -238,7 +253,10 @@
                 } else {
                     15
                 };
-                self.after(takes_ms, Later::Tell(node, term, Box::new(event)));
+                self.schedule(
+                    takes_ms,
+                    ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+                );
             }
             Action::LookUp(id) => self.look_up(node, term, id),
             Action::ReadText(id) => self.read_text(node, term, id),
@@ -252,8 +270,8 @@
         }
     }
 
-    /// Returns whether the advice service allows a step an endpoint, which never changes.
-    fn allows(&self, step: &str, id: &EndpointId) -> bool {
+    /// Returns whether the advice service allows a step to use an endpoint; this never changes.
+    fn is_endpoint_allowed(&self, step: &str, id: &EndpointId) -> bool {
         let mut hasher = DefaultHasher::new();
         (step, id).hash(&mut hasher);
         hasher.finish() % 100 < self.advice_percent
@@ -261,7 +279,7 @@
 
     pub(super) fn send_commit(&mut self, node: usize, term: u64, batch: Batch) {
         let (number, copy) = (batch.number, batch.copy);
-        let late = self.random.percent(self.store.lost_percent);
+        let late = self.random.percent(self.store.lost_answer_percent);
         if !self.store_reachable(node) {
             let outcome = if late {
                 CommitOutcome::Unknown
@@ -273,21 +291,33 @@
                 copy,
                 outcome,
             };
-            self.after(100, Later::Tell(node, term, Box::new(event)));
+            self.schedule(
+                100,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+            );
             return;
         }
         if late {
             let delay_ms = self.random.below(3_000);
-            self.after(delay_ms, Later::Commit(node, term, Box::new(batch), false));
+            self.schedule(
+                delay_ms,
+                ScheduledEvent::ApplyCommit(node, term, Box::new(batch), false),
+            );
             let outcome = CommitOutcome::Unknown;
             let event = Event::Committed {
                 number,
                 copy,
                 outcome,
             };
-            self.after(TIMEOUT_MS, Later::Tell(node, term, Box::new(event)));
+            self.schedule(
+                TIMEOUT_MS,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+            );
             return;
         }
-        self.after(HOP_MS + 4, Later::Commit(node, term, Box::new(batch), true));
+        self.schedule(
+            ONE_WAY_DELAY_MS + 4,
+            ScheduledEvent::ApplyCommit(node, term, Box::new(batch), true),
+        );
     }
 }
--- a/crates/chervilfall_planner/tests/world/oracle.rs
+++ b/crates/chervilfall_planner/tests/world/oracle.rs
@@ -1,13 +1,13 @@
-//! What must hold for all endpoints together.
+//! Checks of the invariants that hold across all endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chervilfall_planner::{EndpointId, How, JobId, JobSpec, Run, TaskKey};
+use chervilfall_planner::{EndReason, EndpointId, JobId, JobSpec, Run, TaskKey};
 
 use super::endpoint::FakeEndpoint;
 
-/// Looks at what runs now: no task twice at once.
-pub fn overlaps<'a>(
+/// Checks the runs in progress: no task may run twice at the same time.
+pub fn check_overlaps<'a>(
     endpoints: impl Iterator<Item = &'a FakeEndpoint>,
     now: u64,
     violations: &mut Vec<String>,
@@ -22,9 +22,9 @@
     }
 }
 
-/// Looks at all that was started and noted: no start after a noted end as done, none after the last
-/// attempt, none of a refused job.
-pub fn history<'a>(
+/// Checks all starts and acknowledged ends: no task may be started after an acknowledged end as done
+/// or after its last attempt, and no task of a refused job may be started.
+pub fn check_history<'a>(
     endpoints: impl Iterator<Item = &'a FakeEndpoint> + Clone,
     attempts: usize,
     refused: &BTreeSet<JobId>,
@@ -32,12 +32,15 @@
 ) {
     let mut done: BTreeMap<TaskKey, u64> = BTreeMap::new();
     let mut failed: BTreeMap<TaskKey, BTreeMap<u64, u64>> = BTreeMap::new();
-    for (task, run, how, at_ms) in endpoints.clone().flat_map(|endpoint| &endpoint.noted) {
+    for (task, run, how, at_ms) in endpoints
+        .clone()
+        .flat_map(|endpoint| &endpoint.acknowledged_ends)
+    {
         match how {
-            How::Done => {
+            EndReason::Done => {
                 done.insert(*task, *at_ms);
             }
-            How::Failed => {
+            EndReason::Failed => {
                 failed.entry(*task).or_default().insert(*run, *at_ms);
             }
             _ => {}
@@ -56,7 +59,7 @@
         }
         if exhausted(task).is_some_and(|failed_ms| failed_ms < *at_ms) {
             violations.push(format!(
-                "{task} run {run} started at {at_ms} after its attempts"
+                "{task} run {run} started at {at_ms} after its last attempt"
             ));
         }
         if refused.contains(&task.job) {
@@ -65,15 +68,16 @@
     }
 }
 
-/// Crashes under a task after which only few more starts are allowed.
-const CRASHES: usize = 3;
-/// Starts after these that are too many, by nodes in touch.
-const STARTS_AFTER: usize = 3;
-/// The same by any node: one that is cut off from the store starts what it had accepted, and nobody may hear of it.
-const STARTS_AFTER_BY_ANY: usize = 5;
+/// Number of crashes caused by a task after which only a few more starts are allowed.
+const CRASH_THRESHOLD: usize = 3;
+/// Number of starts after these crashes that is too many, counting starts by undisturbed nodes.
+const TOO_MANY_STARTS: usize = 3;
+/// The same for starts by any node. A node that is cut off from the store still starts the tasks that it
+/// had accepted, and other nodes may not learn of these starts.
+const TOO_MANY_STARTS_BY_ANY: usize = 5;
 
-/// Looks at the tasks that bring endpoints down: few starts after the third crash.
-pub fn crashes(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, violations: &mut Vec<String>) {
+/// Checks tasks that crash endpoints: only a few starts may follow the third crash.
+pub fn check_crashes(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, violations: &mut Vec<String>) {
     let mut crashes: BTreeMap<TaskKey, Vec<u64>> = BTreeMap::new();
     for (at_ms, culprit) in endpoints.values().flat_map(FakeEndpoint::crashes) {
         if let Some(task) = culprit {
@@ -82,7 +86,7 @@
     }
     for (task, mut times) in crashes {
         times.sort_unstable();
-        let Some(third_ms) = times.get(CRASHES - 1) else {
+        let Some(third_ms) = times.get(CRASH_THRESHOLD - 1) else {
             continue;
         };
         let after = |starts: &Vec<(u64, TaskKey, Run)>| {
@@ -92,31 +96,32 @@
         };
         let any = endpoints.values().map(|endpoint| after(&endpoint.starts));
         let any: usize = any.sum();
-        let in_touch = endpoints
+        let by_undisturbed = endpoints
             .values()
-            .map(|endpoint| after(&endpoint.starts_in_touch));
-        let in_touch: usize = in_touch.sum();
-        if in_touch >= STARTS_AFTER || any >= STARTS_AFTER_BY_ANY {
+            .map(|endpoint| after(&endpoint.starts_by_undisturbed_nodes));
+        let by_undisturbed: usize = by_undisturbed.sum();
+        if by_undisturbed >= TOO_MANY_STARTS || any >= TOO_MANY_STARTS_BY_ANY {
             violations.push(format!(
-                "{task} started {any} times, {in_touch} by nodes in touch, after its third crash at {third_ms}"
+                "{task} started {any} times, {by_undisturbed} by undisturbed nodes, after its third crash at {third_ms}"
             ));
         }
     }
 }
 
-/// Returns how many endpoints have crashed under one task of a job, whoever caused it.
-pub fn most_crashes_under(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, job: JobId) -> usize {
+/// Returns the highest number of endpoint crashes during runs of one task of a job, whatever caused them.
+pub fn max_crashes_under(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, job: JobId) -> usize {
     let mut crashes: BTreeMap<TaskKey, usize> = BTreeMap::new();
-    let there = endpoints
+    let running = endpoints
         .values()
-        .flat_map(|endpoint| &endpoint.crashed_with);
-    for task in there.filter(|task| task.job == job) {
+        .flat_map(|endpoint| &endpoint.running_at_crashes);
+    for task in running.filter(|task| task.job == job) {
         *crashes.entry(*task).or_default() += 1;
     }
     crashes.into_values().max().unwrap_or(0)
 }
 
-/// Returns whether a task of a job has failed as often as allowed, by what endpoints have reported.
+/// Returns whether a task of a job has used all its attempts, according to the failures that endpoints
+/// have reported.
 pub fn has_used_attempts(
     endpoints: &BTreeMap<EndpointId, FakeEndpoint>,
     jobs: &BTreeMap<JobId, JobSpec>,
@@ -126,7 +131,7 @@
     let mut failed: BTreeMap<TaskKey, BTreeSet<Run>> = BTreeMap::new();
     let reported = endpoints.values().flat_map(|endpoint| &endpoint.failed);
     for (task, run) in reported.filter(|(task, _)| task.job == job) {
-        // A gang fails as a whole, whichever members do.
+        // A gang fails as a whole, whichever of its members fail.
         let step = TaskKey { index: 0, ..*task };
         let gang = jobs[&job].steps[usize::from(task.step)].gang;
         let counted = if gang { step } else { *task };
--- a/crates/chervilfall_planner/tests/world/orders.rs
+++ b/crates/chervilfall_planner/tests/world/orders.rs
@@ -1,18 +1,18 @@
-//! Orders to endpoints: cut, carried out late, answered.
+//! Delivery of orders to endpoints: lost, late, or answered.
 
 use chervilfall_planner::{Action, EndpointId, Event, HoldAnswer, StartAnswer, StopAnswer};
 
-use super::{Later, World, HOP_MS, TIMEOUT_MS};
+use super::{ScheduledEvent, World, ONE_WAY_DELAY_MS, TIMEOUT_MS};
 
-/// Milliseconds without disturbance after which a node is in touch.
-const IN_TOUCH_MS: u64 = 3_000;
+/// Milliseconds without a fault after which a node counts as undisturbed.
+const UNDISTURBED_MS: u64 = 3_000;
 
 impl World {
     pub(super) fn send_order(&mut self, node: usize, term: u64, action: Action) {
         let id = order_target(&action).clone();
-        let there = self.endpoints.get(&id);
-        let cut = there.is_none_or(|endpoint| endpoint.dead) || self.is_cut_off(node, &id);
-        let unanswered = unanswered(&action, self.now);
+        let endpoint = self.endpoints.get(&id);
+        let cut = endpoint.is_none_or(|endpoint| endpoint.dead) || self.is_cut_off(node, &id);
+        let unanswered_event = unanswered_event(&action, self.now);
         let mut wait_ms = TIMEOUT_MS;
         if let Action::Hold(order) = &action {
             wait_ms += order.wait_ms;
@@ -21,96 +21,110 @@
             .endpoints
             .get(&id)
             .is_some_and(|endpoint| endpoint.replaced);
-        if replaced && !self.split(node, &id) {
-            let event = Box::new(misdirected(&action, self.now));
-            self.after(2 * HOP_MS, Later::Tell(node, term, event));
+        if replaced && !self.is_partitioned(node, &id) {
+            let event = Box::new(wrong_incarnation_event(&action, self.now));
+            self.schedule(
+                2 * ONE_WAY_DELAY_MS,
+                ScheduledEvent::DeliverEvent(node, term, event),
+            );
             return;
         }
         let next_life = self
-            .meets_next_life(&id, wait_ms)
+            .delay_to_next_incarnation(&id, wait_ms)
             .filter(|_| !self.is_cut_off(node, &id));
         if let Some(delay_ms) = next_life {
-            // The connection is tried again until the next incarnation takes it.
+            // The caller retries the connection until the next incarnation accepts it.
             let sent_ms = self.now;
-            self.after(
+            self.schedule(
                 delay_ms,
-                Later::Arrive(node, term, Box::new(action), sent_ms),
+                ScheduledEvent::DeliverOrder(node, term, Box::new(action), sent_ms),
             );
             return;
         }
         if cut {
-            self.after(wait_ms, Later::Tell(node, term, Box::new(unanswered)));
+            self.schedule(
+                wait_ms,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(unanswered_event)),
+            );
             return;
         }
         if self.random.percent(self.late_percent) {
             let delay_ms = 2_000 + self.random.below(10_000);
             let sent_ms = self.now;
-            self.after(
+            self.schedule(
                 delay_ms,
-                Later::Arrive(usize::MAX, term, Box::new(action), sent_ms),
+                ScheduledEvent::DeliverOrder(usize::MAX, term, Box::new(action), sent_ms),
+            );
+            self.schedule(
+                wait_ms,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(unanswered_event)),
             );
-            self.after(wait_ms, Later::Tell(node, term, Box::new(unanswered)));
             return;
         }
         let sent_ms = self.now;
-        self.after(HOP_MS, Later::Arrive(node, term, Box::new(action), sent_ms));
+        self.schedule(
+            ONE_WAY_DELAY_MS,
+            ScheduledEvent::DeliverOrder(node, term, Box::new(action), sent_ms),
+        );
     }
 
-    /// Returns whether no order of a node reaches an endpoint now.
+    /// Returns whether a node's orders cannot reach an endpoint now.
     fn is_cut_off(&self, node: usize, id: &EndpointId) -> bool {
-        let there = self.endpoints.get(id);
-        let cut = there.is_some_and(|endpoint| endpoint.cut_until_ms > self.now);
-        cut || self.nodes[node].cut_until_ms > self.now || self.split(node, id)
+        let endpoint = self.endpoints.get(id);
+        let cut = endpoint.is_some_and(|endpoint| endpoint.cut_until_ms > self.now);
+        cut || self.nodes[node].cut_until_ms > self.now || self.is_partitioned(node, id)
     }
 
-    /// Returns after how long an order to a crashed endpoint is taken by the incarnation that follows under its name, if
-    /// its caller waits for so long.
-    fn meets_next_life(&self, id: &EndpointId, wait_ms: u64) -> Option<u64> {
+    /// Returns the delay until the next incarnation of a crashed endpoint, under the same name, accepts an
+    /// order, if the caller waits that long.
+    fn delay_to_next_incarnation(&self, id: &EndpointId, wait_ms: u64) -> Option<u64> {
         let endpoint = self.endpoints.get(id)?;
         let (crashed_ms, _) = endpoint.crashed.filter(|_| self.keeps_names)?;
-        let delay_ms = (crashed_ms + self.reborn_ms + HOP_MS).saturating_sub(self.now);
+        let delay_ms =
+            (crashed_ms + self.restart_delay_ms + ONE_WAY_DELAY_MS).saturating_sub(self.now);
         (delay_ms < wait_ms).then_some(delay_ms)
     }
 
-    /// Returns whether a node has been undisturbed for a while, and so has the store for it.
-    fn is_in_touch(&self, node: usize) -> bool {
+    /// Returns whether neither a node nor its connection to the store has had a fault for
+    /// `UNDISTURBED_MS`.
+    fn is_undisturbed(&self, node: usize) -> bool {
         let Some(node) = self.nodes.get(node) else {
             return false;
         };
-        let troubles = [
+        let faults_until_ms = [
             node.frozen_until_ms,
             node.cut_until_ms,
             node.store_cut_until_ms,
             node.began_ms,
             self.store.down_until_ms,
-            self.split_until_ms,
+            self.partitioned_until_ms,
             self.store_lossy_ms,
         ];
-        let calm = |until_ms: &u64| until_ms.saturating_add(IN_TOUCH_MS) <= self.now;
-        troubles.iter().all(calm)
+        let is_over = |until_ms: &u64| until_ms.saturating_add(UNDISTURBED_MS) <= self.now;
+        faults_until_ms.iter().all(is_over)
     }
 
-    pub(super) fn split(&self, node: usize, id: &EndpointId) -> bool {
+    pub(super) fn is_partitioned(&self, node: usize, id: &EndpointId) -> bool {
         let domain = self.endpoints.get(id).map_or(0, |endpoint| endpoint.domain);
-        self.split_until_ms > self.now && self.nodes[node].domain != domain
+        self.partitioned_until_ms > self.now && self.nodes[node].domain != domain
     }
 
-    pub(super) fn arrive(&mut self, node: usize, term: u64, action: Action, sent_ms: u64) {
+    pub(super) fn deliver_order(&mut self, node: usize, term: u64, action: Action, sent_ms: u64) {
         let now = self.now;
         let id = order_target(&action).clone();
-        let in_touch = self.is_in_touch(node);
+        let undisturbed = self.is_undisturbed(node);
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
         let late = node == usize::MAX;
-        // What an endpoint has received and not carried out is gone with it.
+        // Orders that an endpoint has received and not carried out are lost when it crashes.
         if late && endpoint.started_ms > sent_ms {
             return;
         }
         if endpoint.dead {
             if !late {
-                let event = Box::new(unanswered(&action, sent_ms));
-                self.after(TIMEOUT_MS, Later::Tell(node, term, event));
+                let event = Box::new(unanswered_event(&action, sent_ms));
+                self.schedule(TIMEOUT_MS, ScheduledEvent::DeliverEvent(node, term, event));
             }
             return;
         }
@@ -119,8 +133,10 @@
                 let spec = self.jobs.get(&order.task.job).cloned();
                 let crashing = self.crashing.get(&order.task.job).copied();
                 let answer = endpoint.start(now, &order, spec.as_ref(), crashing, &mut self.random);
-                if in_touch && endpoint.starts.last() == Some(&(now, order.task, order.run)) {
-                    endpoint.starts_in_touch.push((now, order.task, order.run));
+                if undisturbed && endpoint.starts.last() == Some(&(now, order.task, order.run)) {
+                    endpoint
+                        .starts_by_undisturbed_nodes
+                        .push((now, order.task, order.run));
                 }
                 Some(Event::Started {
                     endpoint: order.endpoint,
@@ -145,7 +161,10 @@
             _ => None,
         };
         if let (Some(event), false) = (event, late) {
-            self.after(HOP_MS, Later::Tell(node, term, Box::new(event)));
+            self.schedule(
+                ONE_WAY_DELAY_MS,
+                ScheduledEvent::DeliverEvent(node, term, Box::new(event)),
+            );
         }
     }
 
@@ -159,7 +178,7 @@
             if hold.node == usize::MAX {
                 continue;
             }
-            let lost = self.split(hold.node, &hold.id);
+            let lost = self.is_partitioned(hold.node, &hold.id);
             let term = hold.term;
             let event = Event::Held {
                 endpoint: hold.endpoint,
@@ -170,8 +189,11 @@
                     hold.answer
                 },
             };
-            let delay_ms = if lost { TIMEOUT_MS } else { HOP_MS };
-            self.after(delay_ms, Later::Tell(hold.node, term, Box::new(event)));
+            let delay_ms = if lost { TIMEOUT_MS } else { ONE_WAY_DELAY_MS };
+            self.schedule(
+                delay_ms,
+                ScheduledEvent::DeliverEvent(hold.node, term, Box::new(event)),
+            );
         }
     }
 }
@@ -185,26 +207,26 @@
     }
 }
 
-fn unanswered(action: &Action, sent_ms: u64) -> Event {
+fn unanswered_event(action: &Action, sent_ms: u64) -> Event {
     let answers = (
         StartAnswer::Unanswered,
         StopAnswer::Unanswered,
         HoldAnswer::Unanswered,
     );
-    answered(action, sent_ms, answers)
+    answer_event(action, sent_ms, answers)
 }
 
-fn misdirected(action: &Action, sent_ms: u64) -> Event {
+fn wrong_incarnation_event(action: &Action, sent_ms: u64) -> Event {
     let answers = (
         StartAnswer::OtherIncarnation,
         StopAnswer::OtherIncarnation,
         HoldAnswer::OtherIncarnation,
     );
-    answered(action, sent_ms, answers)
+    answer_event(action, sent_ms, answers)
 }
 
-/// Returns the event that answers an order, by its kind.
-fn answered(
+/// Returns the event that answers an order, with the answer for its kind.
+fn answer_event(
     action: &Action,
     sent_ms: u64,
     answers: (StartAnswer, StopAnswer, HoldAnswer),
--- a/crates/chervilfall_planner/tests/world/random.rs
+++ b/crates/chervilfall_planner/tests/world/random.rs
@@ -1,6 +1,6 @@
-//! A small generator of random numbers, so that a seed plays the same everywhere.
+//! A small random number generator, which gives the same numbers for a seed on every platform.
 
-/// The generator, by the method of `splitmix64`.
+/// A `splitmix64` generator.
 pub struct Random(u64);
 
 impl Random {
--- a/crates/chervilfall_planner/tests/world/store.rs
+++ b/crates/chervilfall_planner/tests/world/store.rs
@@ -1,22 +1,22 @@
-//! A store with one group's tables.
+//! A simulated store with the tables of one group.
 
 use std::collections::BTreeMap;
 
 use chervilfall_planner::{Batch, CommitOutcome, RowChange};
 
-/// Most bytes of a row's value.
+/// Maximum size of a row's value in bytes.
 const ROW_BYTES: usize = 65_536;
-/// Most changes of a transaction.
+/// Maximum number of changes in a transaction.
 const CHANGES: usize = 100;
 
-/// The store.
+/// The simulated store.
 #[derive(Default)]
 pub struct FakeStore {
     version: u64,
     rows: BTreeMap<(String, String), (u64, Vec<u8>)>,
     pub down_until_ms: u64,
-    /// Part of the transactions, in percent, that are not answered and carried out late.
-    pub lost_percent: u64,
+    /// Percentage of transactions that are not answered and are carried out late.
+    pub lost_answer_percent: u64,
 }
 
 impl FakeStore {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Replaces what all rows say but the claim.
+    /// Replaces the values of all rows except the claim.
     pub fn rewrite(&mut self, change: impl Fn(&[u8]) -> Vec<u8>) {
         for ((table, _), (_, value)) in &mut self.rows {
             if table != "claims" {
