--- a/crates/chervilfall_planner/tests/accounts.rs
+++ b/crates/chervilfall_planner/tests/accounts.rs
@@ -265,7 +265,8 @@
     assert_eq!(answer, Answer::NameTaken);
 }
 
-/// One account submits twenty times its share for three seconds; the others' jobs must not wait for its work.
+/// One account submits twenty times its share for three seconds; the others' jobs must not wait for
+/// its work.
 #[test]
 fn an_account_beyond_its_share_does_not_delay_the_others() {
     const OVERLOADED_ACCOUNT: &str = "hot";
--- a/crates/chervilfall_planner/tests/adoption.rs
+++ b/crates/chervilfall_planner/tests/adoption.rs
@@ -1,10 +1,11 @@
-//! A new holder finds two runs of one task, because the second started between its first lists of the two
-//! endpoints.
+//! A new holder finds two runs of one task, because the second started between its first lists of
+//! the two endpoints.
 //!
-//! Guards against two runs of a task at the same time, 0.6 s after a takeover. The earlier holder, whose
-//! commits the store already refused, learned of a failed run and started the next one on an endpoint that
-//! its successor had not reached yet. The successor adopted the run that had failed, ordered the next one
-//! to stop, learned of the failure, and started a third while the second was still stopping.
+//! Guards against two runs of a task at the same time, 0.6 s after a takeover. The earlier holder,
+//! whose commits the store already refused, learned of a failed run and started the next one on an
+//! endpoint that its successor had not reached yet. The successor adopted the run that had failed,
+//! ordered the next one to stop, learned of the failure, and started a third while the second was
+//! still stopping.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -244,7 +245,8 @@
 #[test]
 fn a_task_is_not_started_while_a_run_of_it_is_being_stopped() {
     let mut successor = Successor::open();
-    // The run with the higher number is listed first, and ends while the other one is being stopped.
+    // The run with the higher number is listed first, and ends while the other one is being
+    // stopped.
     successor.answer_hold(NEXT_RUN_ENDPOINT, &[2], &[]);
     successor.answer_hold(FAILED_RUN_ENDPOINT, &[1], &[]);
     successor.advance(20);
--- a/crates/chervilfall_planner/tests/backlog.rs
+++ b/crates/chervilfall_planner/tests/backlog.rs
@@ -1,8 +1,8 @@
 //! Jobs are submitted faster than commits can store them.
 //!
-//! Guards against this failure: new jobs went into commits before the progress of earlier ones, and ends
-//! were acknowledged only by a commit that left nothing over. Under sustained load no end was ever
-//! acknowledged: endpoints listed all of them again and again, and no job was shown as ended.
+//! Guards against this failure: new jobs went into commits before the progress of earlier ones, and
+//! ends were acknowledged only by a commit that left nothing over. Under sustained load no end was
+//! ever acknowledged: endpoints listed all of them again and again, and no job was shown as ended.
 
 mod world;
 
--- a/crates/chervilfall_planner/tests/cancels.rs
+++ b/crates/chervilfall_planner/tests/cancels.rs
@@ -1,8 +1,8 @@
 //! Cancels that arrive before the submission of their job.
 //!
-//! A caller that gives up cancels its job while the submission is still in flight: at a node that waits for
-//! a holder, or resent by the network. The cancel finds no job. A later submission under the same id must
-//! not run, even if another holder accepts it.
+//! A caller that gives up cancels its job while the submission is still in flight: at a node that
+//! waits for a holder, or resent by the network. The cancel finds no job. A later submission under
+//! the same id must not run, even if another holder accepts it.
 
 mod world;
 
--- a/crates/chervilfall_planner/tests/capacity.rs
+++ b/crates/chervilfall_planner/tests/capacity.rs
@@ -1,7 +1,8 @@
 //! Endpoints whose capacity shrinks and grows while they run.
 //!
-//! Endpoints report their capacity through the store, so the reports reach a holder only while both can
-//! reach the store. A holder that relies on an old report overfills endpoints that have shrunk since.
+//! Endpoints report their capacity through the store, so the reports reach a holder only while both
+//! can reach the store. A holder that relies on an old report overfills endpoints that have shrunk
+//! since.
 
 mod world;
 
--- a/crates/chervilfall_planner/tests/crashes.rs
+++ b/crates/chervilfall_planner/tests/crashes.rs
@@ -1,14 +1,14 @@
 //! Tasks that crash the endpoints that run them.
 //!
-//! Guards against this failure: two jobs crashed 222 endpoints in 130 s, one after the other, and with each
-//! of them five to thirteen runs of other jobs were lost and restarted. Only runs that an endpoint reports
-//! as failed counted against a task, and a crashed endpoint reports nothing. A run that was lost with its
-//! endpoint was queued again as if it had never run, and its task was started elsewhere once the leases had
-//! lapsed, every 2.8 s.
+//! Guards against this failure: two jobs crashed 222 endpoints in 130 s, one after the other, and
+//! with each of them five to thirteen runs of other jobs were lost and restarted. Only runs that an
+//! endpoint reports as failed counted against a task, and a crashed endpoint reports nothing. A run
+//! that was lost with its endpoint was queued again as if it had never run, and its task was
+//! started elsewhere once the leases had lapsed, every 2.8 s.
 //!
-//! A task that has lost some endpoints gets one without runs of other jobs, and is given up when it has
-//! crashed such endpoints too. Other tasks of a crashed endpoint continue elsewhere: a sound job is never
-//! reported as failed.
+//! A task that has lost some endpoints gets one without runs of other jobs, and is given up when it
+//! has crashed such endpoints too. Other tasks of a crashed endpoint continue elsewhere: a sound
+//! job is never reported as failed.
 
 mod world;
 
@@ -20,8 +20,8 @@
 const CRASHING_JOB: u64 = 1;
 /// First id of the sound jobs, whose tasks crash no endpoint.
 const FIRST_SOUND_JOB: u64 = 100;
-/// Time within which a task that crashes its endpoints must be given up: five times the lapse of a lease
-/// and a read of the endpoint list.
+/// Time within which a task that crashes its endpoints must be given up: five times the lapse of a
+/// lease and a read of the endpoint list.
 const GIVEN_UP_MS: u64 = 40_000;
 /// Time within which sound jobs must complete.
 const DONE_MS: u64 = 40_000;
@@ -74,8 +74,8 @@
     id + 1
 }
 
-/// Panics unless every accepted sound job completes in time. A job that has used its attempts, according to
-/// the failures that endpoints have reported, may have failed.
+/// Panics unless every accepted sound job completes in time. A job that has used its attempts,
+/// according to the failures that endpoints have reported, may have failed.
 fn assert_sound_jobs_done(world: &mut World, name: &str) {
     let end = world.now + DONE_MS;
     let mut left: Vec<JobId> = world.accepted.iter().copied().collect();
@@ -111,7 +111,8 @@
     Nothing,
     /// The holder's process is killed after each crash, before any node has detected it.
     HolderKilled,
-    /// The holder's process is killed after every second start, so that the crash falls into the takeover.
+    /// The holder's process is killed after every second start, so that the crash falls into the
+    /// takeover.
     HolderKilledAtStarts,
     /// The holder is frozen after each crash, for longer than a takeover takes.
     HolderFrozen,
@@ -133,8 +134,8 @@
     let (started, crashed) = (now.0 > before.0, now.1 > before.1);
     match concurrent_fault {
         ConcurrentFault::HolderKilled if crashed => world.kill(holder),
-        // The next holder is spared so that it can store something: starts that are never stored cannot be
-        // counted.
+        // The next holder is spared so that it can store something: starts that are never stored
+        // cannot be counted.
         ConcurrentFault::HolderKilledAtStarts if started && now.0 % 2 == 0 => world.kill(holder),
         ConcurrentFault::HolderFrozen if crashed => {
             world.nodes[holder].frozen_until_ms = world.now + 4_000;
@@ -325,8 +326,8 @@
     }
 }
 
-/// Crashes the endpoints that have run the job for a second, up to three times. One more crash could not be
-/// distinguished from a task that causes them.
+/// Crashes the endpoints that have run the job for a second, up to three times. One more crash
+/// could not be distinguished from a task that causes them.
 fn crash_endpoints_running_job(world: &mut World) {
     let now = world.now;
     if world.max_crashes_under(JobId(FIRST_SOUND_JOB)) >= 3 {
--- a/crates/chervilfall_planner/tests/first_holds.rs
+++ b/crates/chervilfall_planner/tests/first_holds.rs
@@ -1,8 +1,8 @@
 //! How a new holder of a large fleet reaches its endpoints.
 //!
-//! Guards against holding all of them at the same moment. With 3,000 endpoints the answers kept the holder's
-//! CPU busy for over a second and delayed the renewals of its claim; the next node claimed the group and did
-//! the same.
+//! Guards against holding all of them at the same moment. With 3,000 endpoints the answers kept the
+//! holder's CPU busy for over a second and delayed the renewals of its claim; the next node claimed
+//! the group and did the same.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/crates/chervilfall_planner/tests/fleet.rs
+++ b/crates/chervilfall_planner/tests/fleet.rs
@@ -1,8 +1,9 @@
 //! The normal load of a consortium with 540 endpoints and 97 nodes.
 //!
-//! 160 submissions arrive per second. Most are short lookups of three tasks on average, whose objective
-//! is 1.5 times their work and a quarter of a second; gangs of twenty tasks and batch steps of nineteen use
-//! most of the resources. Each queue asks for advice first; a call for a gang takes most of a second.
+//! 160 submissions arrive per second. Most are short lookups of three tasks on average, whose
+//! objective is 1.5 times their work and a quarter of a second; gangs of twenty tasks and batch
+//! steps of nineteen use most of the resources. Each queue asks for advice first; a call for a gang
+//! takes most of a second.
 
 mod world;
 
--- a/crates/chervilfall_planner/tests/histories.rs
+++ b/crates/chervilfall_planner/tests/histories.rs
@@ -10,11 +10,11 @@
 const HISTORIES: u64 = 150;
 /// Seeds of histories that failed before; run every time.
 ///
-/// 763: a process that took over from an earlier process of its own node counted leases from its own
-/// start, although the earlier one had not yet waited out the leases of the holder before it.
+/// 763: a process that took over from an earlier process of its own node counted leases from its
+/// own start, although the earlier one had not yet waited out the leases of the holder before it.
 ///
-/// 11474: a run whose job's row was dropped used no resources on an endpoint that a successor knew only
-/// from the roster.
+/// 11474: a run whose job's row was dropped used no resources on an endpoint that a successor knew
+/// only from the roster.
 const REGRESSIONS: [u64; 2] = [763, 11_474];
 /// Rounds of jobs and faults in a history.
 const ROUNDS: u64 = 40;
@@ -81,9 +81,9 @@
     ..CRASHES
 };
 
-/// Minimum number of endpoint crashes during runs of one task before its job may be given up, whatever caused
-/// them. In these histories whole racks crash every few seconds in addition, so no holder can always tell
-/// which task is at fault.
+/// Minimum number of endpoint crashes during runs of one task before its job may be given up,
+/// whatever caused them. In these histories whole racks crash every few seconds in addition, so no
+/// holder can always tell which task is at fault.
 const GIVEN_UP_CRASHES: usize = 2;
 
 /// Crashes an endpoint, or a rack of three.
@@ -291,8 +291,9 @@
 ///
 /// 68: a sound job was given up because of starts sent to endpoints that had just crashed.
 ///
-/// 250, 5368: two starts of a task that crashes endpoints were ordered by holders that had just been cut off
-/// from the store, in two separate cuts. No later holder knew of them, and the task was started six times.
+/// 250, 5368: two starts of a task that crashes endpoints were ordered by holders that had just
+/// been cut off from the store, in two separate cuts. No later holder knew of them, and the task
+/// was started six times.
 ///
 /// 231, 1003: a successor's record of such a start was lost with the successor.
 const CRASH_REGRESSIONS: [u64; 5] = [68, 250, 5_368, 231, 1_003];
@@ -307,15 +308,16 @@
 
 /// Seeds of histories with endpoint restarts that failed before; run every time.
 ///
-/// 435: a run was lost with an endpoint whose leases were assumed to be long, because a hold of its earlier
-/// incarnation might have extended them. The holder was lost before they lapsed, and its successor did not
-/// read the record of so early a start.
+/// 435: a run was lost with an endpoint whose leases were assumed to be long, because a hold of its
+/// earlier incarnation might have extended them. The holder was lost before they lapsed, and its
+/// successor did not read the record of so early a start.
 ///
-/// 2079: a holder that had been frozen took old answers for new ones, and sent a start to an endpoint that
-/// its successor had fenced off. The endpoint had restarted meanwhile, and knew no fencing token.
+/// 2079: a holder that had been frozen took old answers for new ones, and sent a start to an
+/// endpoint that its successor had fenced off. The endpoint had restarted meanwhile, and knew no
+/// fencing token.
 ///
-/// 20048: a task that crashes endpoints late was made exclusive only after its third loss, and one record
-/// of a start was lost with a holder. The task was started six times.
+/// 20048: a task that crashes endpoints late was made exclusive only after its third loss, and one
+/// of the records was lost with a holder. The task was started six times.
 const RESTART_REGRESSIONS: [u64; 3] = [435, 2_079, 20_048];
 
 #[test]
--- a/crates/chervilfall_planner/tests/planner.rs
+++ b/crates/chervilfall_planner/tests/planner.rs
@@ -282,8 +282,9 @@
 /// Number of simulations in which a gang of twenty is started while one order in twelve is late.
 const LATE_GANGS: u64 = 10;
 
-/// Returns how many members of these gangs run before the first of them ends. The simulated endpoints do
-/// not make members wait for each other, so a member whose order is late does not start in time.
+/// Returns how many members of these gangs run before the first of them ends. The simulated
+/// endpoints do not make members wait for each other, so a member whose order is late does not
+/// start in time.
 fn members_in_time(copies: u32) -> usize {
     let mut started = 0;
     for seed in 0..LATE_GANGS {
@@ -450,7 +451,8 @@
         .find(|endpoint| !endpoint.running.is_empty());
     let endpoint = endpoint.expect("the job has started");
     let id = endpoint.id.clone();
-    // Silent until the roster records it, then reachable only by the old holder, which has lost the store.
+    // Silent until the roster records it, then reachable only by the old holder, which has lost the
+    // store.
     endpoint.domain = 1;
     endpoint.cut_until_ms = now + 1_600;
     let holder = world.holder().expect("a holder");
--- a/crates/chervilfall_planner/tests/queue_configuration.rs
+++ b/crates/chervilfall_planner/tests/queue_configuration.rs
@@ -1,5 +1,5 @@
-//! Which version of the configuration a job's queue is taken from, if the node that received the request and
-//! the holder have different versions, and if the holder's version changes later.
+//! Which version of the configuration a job's queue is taken from, if the node that received the
+//! request and the holder have different versions, and if the holder's version changes later.
 
 mod world;
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Puts a configuration in force at the holder, with the world's queue served by `service`, or without it.
+/// Puts a configuration in force at the holder, with the world's queue served by `service`, or
+/// without it.
 fn configure(world: &mut World, version: u64, service: Option<&str>) {
     let queue = service.map(|service| queue(world, service, version));
     let config = Configuration {
--- a/crates/chervilfall_planner/tests/restarts.rs
+++ b/crates/chervilfall_planner/tests/restarts.rs
@@ -1,15 +1,15 @@
 //! Endpoints that restart under the same name.
 //!
-//! Guards against this failure: after 17 of 48 endpoints had restarted within half a second, runs on them
-//! were recorded as `not there` although they had ended as done or failed, and their tasks were started
-//! again, after an end as done and beyond their attempts. The state of an endpoint was kept under its name
-//! alone, without the start time of the incarnation. The next incarnation numbers its ends from 1, so they
-//! were taken for ends already recorded, and the higher acknowledgement for the earlier incarnation deleted
-//! them.
+//! Guards against this failure: after 17 of 48 endpoints had restarted within half a second, runs
+//! on them were recorded as `not there` although they had ended as done or failed, and their tasks
+//! were started again, after an end as done and beyond their attempts. The state of an endpoint was
+//! kept under its name alone, without the start time of the incarnation. The next incarnation
+//! numbers its ends from 1, so they were taken for ends already recorded, and the higher
+//! acknowledgement for the earlier incarnation deleted them.
 //!
-//! The same cause affects leases on a clock that restarts, orders that reach the next incarnation, fencing
-//! tokens unknown to it, capacity and draining in an entry of another incarnation, and records of starts
-//! and crashes.
+//! The same cause affects leases on a clock that restarts, orders that reach the next incarnation,
+//! fencing tokens unknown to it, capacity and draining in an entry of another incarnation, and
+//! records of starts and crashes.
 
 mod world;
 
@@ -25,8 +25,9 @@
 /// Number of endpoints.
 const ENDPOINTS: usize = 6;
 
-/// Minimum number of endpoint crashes during runs of one task before its job may be given up, whatever caused
-/// them. Here endpoints crash every 2.5 s, so no holder can always tell which task is at fault.
+/// Minimum number of endpoint crashes during runs of one task before its job may be given up,
+/// whatever caused them. Here endpoints crash every 2.5 s, so no holder can always tell which task
+/// is at fault.
 const GIVEN_UP_CRASHES: usize = 2;
 
 /// A fault at the time of the crashes.
--- a/crates/chervilfall_planner/tests/speed_and_headroom.rs
+++ b/crates/chervilfall_planner/tests/speed_and_headroom.rs
@@ -1,8 +1,9 @@
-//! Latency-sensitive requests next to batch work that fills the fleet, on endpoints of different speeds.
+//! Latency-sensitive requests next to batch work that fills the fleet, on endpoints of different
+//! speeds.
 //!
-//! Requests whose objective is 1.5 times their work arrive continuously, next to a backlog of batch work
-//! that may wait for several times its own work. Endpoints work at 0.8, 1 and 1.25 of the normal speed,
-//! and one of them at a fifth.
+//! Requests whose objective is 1.5 times their work arrive continuously, next to a backlog of batch
+//! work that may wait for several times its own work. Endpoints work at 0.8, 1 and 1.25 of the
+//! normal speed, and one of them at a fifth.
 
 mod world;
 
@@ -142,8 +143,8 @@
     }
 }
 
-/// Returns a world whose holder has seen the demand of short work, filled with batch work as far as the
-/// policies allow. Its queue is set for short work.
+/// Returns a world whose holder has seen the demand of short work, filled with batch work as far as
+/// the policies allow. Its queue is set for short work.
 fn world_with_backlog(headroom: bool) -> World {
     let mut world = World::new(3, ENDPOINTS, 3);
     world.limits.policies.headroom = headroom;
--- a/crates/chervilfall_planner/tests/takeover.rs
+++ b/crates/chervilfall_planner/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! Time until a lost holder is replaced, and answers of a holder that resumes after its replacement.
+//! Time until a lost holder is replaced, and answers of a holder that resumes after its
+//! replacement.
 
 mod world;
 
--- a/crates/chervilfall_planner/tests/world/endpoint.rs
+++ b/crates/chervilfall_planner/tests/world/endpoint.rs
@@ -13,8 +13,8 @@
 const STOP_MS: u64 = 200;
 /// Milliseconds between two writes of an endpoint's entry in the store.
 const REPORT_INTERVAL_MS: u64 = 1_500;
-/// Milliseconds for which CPU that an endpoint has lost may still be used by starts: 3 s until a node
-/// counts as undisturbed, and one report interval.
+/// Milliseconds for which CPU that an endpoint has lost may still be used by starts: 3 s until a
+/// node counts as undisturbed, and one report interval.
 const SHRINK_GRACE_MS: u64 = 3_000 + REPORT_INTERVAL_MS;
 /// Maximum lease in milliseconds; longer ones are shortened to this.
 const LONGEST_LEASE_MS: u64 = 6_000;
@@ -90,8 +90,8 @@
     pub crashed: Option<(u64, Option<TaskKey>)>,
     /// The same for earlier incarnations with the same name.
     past_crashes: Vec<(u64, Option<TaskKey>)>,
-    /// When this incarnation was started, by its own wall clock; none if each incarnation has its own
-    /// name.
+    /// When this incarnation was started, by its own wall clock; none if each incarnation has its
+    /// own name.
     pub born_ms: Option<u64>,
     /// When this incarnation was started, in simulated time.
     pub started_ms: u64,
@@ -207,8 +207,8 @@
         self.cpu_milli = cpu_milli;
     }
 
-    /// Returns the CPU that starts may use. Capacity that was lost counts for `SHRINK_GRACE_MS` more, so
-    /// that the endpoint has time to report the change.
+    /// Returns the CPU that starts may use. Capacity that was lost counts for `SHRINK_GRACE_MS`
+    /// more, so that the endpoint has time to report the change.
     fn startable_cpu_milli(&self, now: u64) -> u32 {
         let past = self.past_capacities.iter();
         let recent = past.filter(|(until_ms, _)| until_ms + SHRINK_GRACE_MS > now);
@@ -231,7 +231,8 @@
         }
     }
 
-    /// Returns the incarnation that replaces it after a crash, under a new name at the same address.
+    /// Returns the incarnation that replaces it after a crash, under a new name at the same
+    /// address.
     pub fn next_incarnation(&self, number: usize) -> Self {
         Self {
             address: self.address.clone(),
@@ -242,8 +243,8 @@
         }
     }
 
-    /// Restarts under the same name after a crash, without any earlier state and with numbering from
-    /// the beginning.
+    /// Restarts under the same name after a crash, without any earlier state and with numbering
+    /// from the beginning.
     pub fn start_again(&mut self, now: u64, born_ms: u64, clock_offset_ms: u64) {
         self.dead = false;
         self.past_crashes.extend(self.crashed.take());
--- a/crates/chervilfall_planner/tests/world/mod.rs
+++ b/crates/chervilfall_planner/tests/world/mod.rs
@@ -371,8 +371,8 @@
         oracle::check_overlaps(self.endpoints.values(), self.now, &mut self.violations);
     }
 
-    /// Returns the starts and ends of every task and endpoint that a violation names, and all faults,
-    /// in order of time.
+    /// Returns the starts and ends of every task and endpoint that a violation names, and all
+    /// faults, in order of time.
     pub fn event_log(&self) -> String {
         let mut lines: Vec<(u64, String)> = Vec::new();
         for endpoint in self.endpoints.values() {
--- a/crates/chervilfall_planner/tests/world/nodes.rs
+++ b/crates/chervilfall_planner/tests/world/nodes.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Forwards this node's starts that it could not store to the holder, once a link to it can work.
+    /// Forwards this node's starts that it could not store to the holder, once a link to it can
+    /// work.
     fn forward_unstored_starts(&mut self, node: usize) {
         let Some(holder) = self.holder() else {
             return;
--- a/crates/chervilfall_planner/tests/world/oracle.rs
+++ b/crates/chervilfall_planner/tests/world/oracle.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Checks all starts and acknowledged ends: no task may be started after an acknowledged end as done
-/// or after its last attempt, and no task of a refused job may be started.
+/// Checks all starts and acknowledged ends: no task may be started after an acknowledged end as
+/// done or after its last attempt, and no task of a refused job may be started.
 pub fn check_history<'a>(
     endpoints: impl Iterator<Item = &'a FakeEndpoint> + Clone,
     attempts: usize,
@@ -72,8 +72,8 @@
 const CRASH_THRESHOLD: usize = 3;
 /// Number of starts after these crashes that is too many, counting starts by undisturbed nodes.
 const TOO_MANY_STARTS: usize = 3;
-/// The same for starts by any node. A node that is cut off from the store still starts the tasks that it
-/// had accepted, and other nodes may not learn of these starts.
+/// The same for starts by any node. A node that is cut off from the store still starts the tasks
+/// that it had accepted, and other nodes may not learn of these starts.
 const TOO_MANY_STARTS_BY_ANY: usize = 5;
 
 /// Checks tasks that crash endpoints: only a few starts may follow the third crash.
@@ -108,7 +108,8 @@
     }
 }
 
-/// Returns the highest number of endpoint crashes during runs of one task of a job, whatever caused them.
+/// Returns the highest number of endpoint crashes during runs of one task of a job, whatever caused
+/// them.
 pub fn max_crashes_under(endpoints: &BTreeMap<EndpointId, FakeEndpoint>, job: JobId) -> usize {
     let mut crashes: BTreeMap<TaskKey, usize> = BTreeMap::new();
     let running = endpoints
@@ -120,8 +121,8 @@
     crashes.into_values().max().unwrap_or(0)
 }
 
-/// Returns whether a task of a job has used all its attempts, according to the failures that endpoints
-/// have reported.
+/// Returns whether a task of a job has used all its attempts, according to the failures that
+/// endpoints have reported.
 pub fn has_used_attempts(
     endpoints: &BTreeMap<EndpointId, FakeEndpoint>,
     jobs: &BTreeMap<JobId, JobSpec>,
--- a/crates/chervilfall_planner/tests/world/orders.rs
+++ b/crates/chervilfall_planner/tests/world/orders.rs
@@ -75,8 +75,8 @@
         cut || self.nodes[node].cut_until_ms > self.now || self.is_partitioned(node, id)
     }
 
-    /// Returns the delay until the next incarnation of a crashed endpoint, under the same name, accepts an
-    /// order, if the caller waits that long.
+    /// Returns the delay until the next incarnation of a crashed endpoint, under the same name,
+    /// accepts an order, if the caller waits that long.
     fn delay_to_next_incarnation(&self, id: &EndpointId, wait_ms: u64) -> Option<u64> {
         let endpoint = self.endpoints.get(id)?;
         let (crashed_ms, _) = endpoint.crashed.filter(|_| self.keeps_names)?;
