--- a/crates/chervilfall_planner/tests/accounts.rs
+++ b/crates/chervilfall_planner/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts: quotas under takeovers and late orders, and shares while one account sends many times its usual.
+//! Client accounts: quotas under takeovers and late orders, and shares while one account overloads.
 
 mod world;
 
@@ -14,10 +14,10 @@
 
 const LIMITED: &str = "bound";
 const UNLIMITED: &str = "free";
-/// What the bound account may use, before and after it is lowered. Tasks use a core each.
+/// Quota of the limited account, before and after it is lowered. Each task uses one core.
 const QUOTA_MILLI: u64 = 3_000;
 const LOWERED_MILLI: u64 = 1_000;
-/// An order may be carried out this long after it was sent.
+/// Maximum time from the sending of an order until it is carried out.
 const MAX_ORDER_DELAY_MS: u64 = 4_000;
 
 fn account(name: &str, cpu_milli: u64, weight: f64) -> Account {
@@ -53,7 +53,7 @@
     }
 }
 
-/// What the bound account has at work.
+/// Returns the limited account's runs in progress.
 fn runs_of_limited_account(
     world: &World,
     owners: &BTreeMap<JobId, &'static str>,
@@ -97,19 +97,19 @@
         simulation
     }
 
-    /// Lets time pass, and looks at each start.
+    /// Advances the simulation, and checks the quota at each start.
     fn advance(&mut self, for_ms: u64) {
         for _ in 0..for_ms / 5 {
             self.world.run(5);
             let runs = runs_of_limited_account(&self.world, &self.owners);
-            let began = runs.difference(&self.seen).count();
+            let started = runs.difference(&self.seen).count();
             let used_milli = runs.len() as u64 * 1_000;
             let settled = self
                 .lowered_ms
                 .is_some_and(|at_ms| self.world.now > at_ms + MAX_ORDER_DELAY_MS);
             let most_milli = if settled { LOWERED_MILLI } else { QUOTA_MILLI };
-            if began > 0 && used_milli > most_milli {
-                let line = format!("{used_milli} of {most_milli} at {}", self.world.now);
+            if started > 0 && used_milli > most_milli {
+                let line = format!("{used_milli} of {most_milli} mCPU at {}", self.world.now);
                 self.world.violations.push(line);
             }
             self.seen = runs;
@@ -212,25 +212,25 @@
     }
     let cases = [
         Case {
-            name: "its own",
+            name: "its own account",
             account: Some(LIMITED),
             queue: "batch",
             answer: Answer::State(JobState::Running),
         },
         Case {
-            name: "another",
+            name: "another account",
             account: Some(UNLIMITED),
             queue: "batch",
             answer: Answer::Unknown,
         },
         Case {
-            name: "its queue needs no key any more",
+            name: "its queue, without an account since it needs no key any more",
             account: None,
             queue: "batch",
             answer: Answer::State(JobState::Running),
         },
         Case {
-            name: "a queue that needs no key",
+            name: "another queue, which needs no key",
             account: None,
             queue: "other",
             answer: Answer::Unknown,
@@ -244,7 +244,7 @@
     let answer = simulation.world.submit_for(Some(LIMITED), 1, spec.clone());
     assert_eq!(answer, Answer::Accepted);
     simulation.advance(500);
-    // A successor knows whose it is.
+    // A successor still knows the job's account.
     let holder = simulation.world.holder().expect("a holder");
     simulation.world.nodes[holder].frozen_until_ms = u64::MAX;
     simulation.advance(5_000);
@@ -261,20 +261,24 @@
         asker: asker(Some(UNLIMITED), "batch"),
     };
     assert_eq!(simulation.world.ask(cancel), Answer::Unknown);
-    let taken = simulation.world.submit_for(Some(UNLIMITED), 1, spec);
-    assert_eq!(taken, Answer::NameTaken);
+    let answer = simulation.world.submit_for(Some(UNLIMITED), 1, spec);
+    assert_eq!(answer, Answer::NameTaken);
 }
 
-/// One account sends twenty times its share for three seconds; the others' jobs must not wait for its work.
+/// One account submits twenty times its share for three seconds; the others' jobs must not wait for
+/// its work.
 #[test]
 fn an_account_beyond_its_share_does_not_delay_the_others() {
-    const OVERLOADING: &str = "hot";
-    const MODERATE: &str = "calm";
+    const OVERLOADED_ACCOUNT: &str = "hot";
+    const MODERATE_ACCOUNT: &str = "calm";
     let mut world = World::new(3, 4, 9);
     configure(
         &mut world,
         2,
-        vec![account(OVERLOADING, 0, 2.0), account(MODERATE, 0, 10.0)],
+        vec![
+            account(OVERLOADED_ACCOUNT, 0, 2.0),
+            account(MODERATE_ACCOUNT, 0, 10.0),
+        ],
     );
     world.run(1_500);
     let job = || JobSpec {
@@ -285,13 +289,14 @@
     let mut calm = Vec::new();
     for round in 0..60_u64 {
         for part in 0..2 {
-            let answer = world.submit_for(Some(OVERLOADING), 1_000 + 2 * round + part, job());
+            let answer =
+                world.submit_for(Some(OVERLOADED_ACCOUNT), 1_000 + 2 * round + part, job());
             refused += u32::from(matches!(answer, Answer::OverShare { .. }));
         }
         if round % 10 == 0 {
             let id = 1 + round;
             assert_eq!(
-                world.submit_for(Some(MODERATE), id, job()),
+                world.submit_for(Some(MODERATE_ACCOUNT), id, job()),
                 Answer::Accepted
             );
             calm.push((JobId(id), world.now));
@@ -300,7 +305,7 @@
     }
     assert!(refused > 60, "{refused} of 120 refused");
     for (id, _) in &calm[..calm.len() - 1] {
-        let asker = asker(Some(MODERATE), "batch");
+        let asker = asker(Some(MODERATE_ACCOUNT), "batch");
         let state = world.ask(Request::State { id: *id, asker });
         assert_eq!(state, Answer::State(JobState::Completed), "{id}");
     }
--- a/crates/chervilfall_planner/tests/adoption.rs
+++ b/crates/chervilfall_planner/tests/adoption.rs
@@ -1,9 +1,11 @@
-//! A new holder finds two runs of one task: the second began between its first looks at the two endpoints.
+//! A new holder finds two runs of one task, because the second started between its first lists of
+//! the two endpoints.
 //!
-//! Seen: 0.6 s after a takeover two runs of a task were at work. The earlier holder, which the store had turned away, had
-//! learned of a failed run and started the next one on an endpoint that its successor had not reached yet. The successor
-//! took over the run that had failed, had the next one stopped, heard of the failure, and started a third while the second
-//! was still being stopped.
+//! Guards against two runs of a task at the same time, 0.6 s after a takeover. The earlier holder,
+//! whose commits the store already refused, learned of a failed run and started the next one on an
+//! endpoint that its successor had not reached yet. The successor adopted the run that had failed,
+//! ordered the next one to stop, learned of the failure, and started a third while the second was
+//! still stopping.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,11 +22,11 @@
     step: 0,
     index: 0,
 };
-/// The endpoint of the run that fails, and that of the next one.
+/// The endpoints of the run that fails and of the next one.
 const FAILED_RUN_ENDPOINT: &str = "first";
 const NEXT_RUN_ENDPOINT: &str = "second";
 
-/// A holder that has just taken over, and what it has ordered.
+/// A holder that has just taken over, and the orders that it has sent.
 struct Successor {
     planner: Planner,
     now: u64,
@@ -126,13 +128,13 @@
         }
     }
 
-    /// Answers the hold of an endpoint, once there is one.
+    /// Answers the hold of an endpoint with its lists, once the holder has sent one.
     fn answer_hold(&mut self, name: &str, running: &[Run], ended: &[(u64, Run, EndReason)]) {
         let mut waited_ms = 0;
         while !self.holds.remove(name) {
             self.advance(10);
             waited_ms += 10;
-            assert!(waited_ms < 2_000, "{name} is held");
+            assert!(waited_ms < 2_000, "{name} receives a hold");
         }
         let running = running.iter().map(|run| RunningRun {
             task: TASK,
@@ -208,16 +210,16 @@
 fn the_later_of_two_runs_goes_on_alone() {
     struct Case {
         name: &'static str,
-        /// Endpoints in the order of their first lists, and the run that each shows at work.
+        /// Endpoints in the order of their first lists, and the run that each lists as running.
         lists: [(&'static str, Run); 2],
     }
     let cases = [
         Case {
-            name: "the failed run is seen first",
+            name: "the failed run is listed first",
             lists: [(FAILED_RUN_ENDPOINT, 1), (NEXT_RUN_ENDPOINT, 2)],
         },
         Case {
-            name: "the next run is seen first, and an older list of the other endpoint comes later",
+            name: "the next run is listed first, and an older list of the other endpoint arrives later",
             lists: [(NEXT_RUN_ENDPOINT, 2), (FAILED_RUN_ENDPOINT, 1)],
         },
     ];
@@ -233,7 +235,7 @@
         }
         assert_eq!(successor.starts, Vec::<Run>::new(), "{}", case.name);
         assert!(!successor.stops.contains(&2), "{}: stopped", case.name);
-        // The run fails as well: now, and not before, the next one starts.
+        // The run fails as well. Only now does the next one start.
         successor.answer_hold(NEXT_RUN_ENDPOINT, &[], &[(1, 2, EndReason::Failed)]);
         successor.advance(100);
         assert_eq!(successor.starts.len(), 1, "{}", case.name);
@@ -243,7 +245,8 @@
 #[test]
 fn a_task_is_not_started_while_a_run_of_it_is_being_stopped() {
     let mut successor = Successor::open();
-    // The run with the higher number is seen first, and ends while the other one is stopped.
+    // The run with the higher number is listed first, and ends while the other one is being
+    // stopped.
     successor.answer_hold(NEXT_RUN_ENDPOINT, &[2], &[]);
     successor.answer_hold(FAILED_RUN_ENDPOINT, &[1], &[]);
     successor.advance(20);
--- a/crates/chervilfall_planner/tests/capacity.rs
+++ b/crates/chervilfall_planner/tests/capacity.rs
@@ -1,20 +1,21 @@
 //! Endpoints whose capacity shrinks and grows while they run.
 //!
-//! What they say of themselves reaches a holder by the store, and only while both reach it. A holder that goes on with
-//! what it last read overfills endpoints that have shrunk meanwhile.
+//! Endpoints report their capacity through the store, so the reports reach a holder only while both
+//! can reach the store. A holder that relies on an old report overfills endpoints that have shrunk
+//! since.
 
 mod world;
 
 use chervilfall_planner::{Answer, JobSpec};
 use world::{step, World};
 
-/// Processor of an endpoint, in thousandths of a core, and what is left of it at times.
+/// CPU of an endpoint, in thousandths of a core: in full, and after it has shrunk.
 const FULL_CPU_MILLI: u32 = 4_000;
 const SHRUNK_CPU_MILLI: u32 = 1_000;
 
 struct Case {
     name: &'static str,
-    /// Called once, when endpoints shrink.
+    /// Called once, just before the endpoints shrink.
     inject_fault: fn(&mut World),
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// Keeps more work waiting than there is room for.
+/// Submits more work than the endpoints have resources for.
 fn submit_more_than_fits(world: &mut World, id: u64) {
     let spec = JobSpec {
         spec: "text".to_owned(),
@@ -62,23 +63,23 @@
 fn no_start_overfills_an_endpoint_that_has_shrunk() {
     let cases = [
         Case {
-            name: "nothing else happens",
+            name: "no other fault",
             inject_fault: |_| {},
         },
         Case {
-            name: "no node reaches the store",
+            name: "nodes cut off from the store",
             inject_fault: cut_nodes_from_store,
         },
         Case {
-            name: "endpoints don't reach the store",
+            name: "endpoints cut off from the store",
             inject_fault: cut_endpoints_from_store,
         },
         Case {
-            name: "the store is away",
+            name: "store unreachable",
             inject_fault: take_store_down,
         },
         Case {
-            name: "the holder is lost",
+            name: "holder lost",
             inject_fault: kill_holder,
         },
     ];
@@ -110,7 +111,7 @@
             assert_eq!(
                 most.max(),
                 Some(4),
-                "{name}, seed {seed}: room that is back is used"
+                "{name}, seed {seed}: capacity that is back is used"
             );
             resize(&mut world, SHRUNK_CPU_MILLI);
             world.run(12_000);
--- a/crates/chervilfall_planner/tests/crashes.rs
+++ b/crates/chervilfall_planner/tests/crashes.rs
@@ -1,14 +1,14 @@
-//! Tasks that bring down the endpoints that start them.
+//! Tasks that crash the endpoints that run them.
 //!
-//! What was seen: two jobs crashed one endpoint after the other, 222 in 130 s; with each, five to thirteen runs of
-//! other jobs were lost and began anew. How it came about: a run that was lost with its endpoint went back to the
-//! queue as if it had never run, and its task was started elsewhere as soon as the leases had lapsed. The cause: only
-//! runs that an endpoint reports as failed counted against a task, and an endpoint that has crashed reports nothing.
-//! What proved it: the lines of both tasks show runs that rise by one each 2.8 s, with `run given up with its
-//! endpoint` between them and never `attempts used up`; the first test below shows the same.
+//! Guards against this failure: two jobs crashed 222 endpoints in 130 s, one after the other, and
+//! with each of them five to thirteen runs of other jobs were lost and restarted. Only runs that an
+//! endpoint reports as failed counted against a task, and a crashed endpoint reports nothing. A run
+//! that was lost with its endpoint was queued again as if it had never run, and its task was
+//! started elsewhere once the leases had lapsed, every 2.8 s.
 //!
-//! A task that has lost some endpoints is given one that runs nothing of other jobs, and is given up when it has crashed
-//! such ones too. Whoever else was there goes on elsewhere: a job that can be done is never shown as failed.
+//! A task that has lost some endpoints gets one without runs of other jobs, and is given up when it
+//! has crashed such endpoints too. Other tasks of a crashed endpoint continue elsewhere: a sound
+//! job is never reported as failed.
 
 mod world;
 
@@ -16,13 +16,14 @@
 use world::endpoint::CrashBehavior;
 use world::{step, World};
 
-/// Job that crashes endpoints.
+/// Id of the job that crashes endpoints.
 const CRASHING_JOB: u64 = 1;
-/// First of the jobs that can be done.
+/// First id of the sound jobs, whose tasks crash no endpoint.
 const FIRST_SOUND_JOB: u64 = 100;
-/// Time in which a task that crashes its endpoints is given up: five rounds of a lapse and a look at the list.
+/// Time within which a task that crashes its endpoints must be given up: five times the lapse of a
+/// lease and a read of the endpoint list.
 const GIVEN_UP_MS: u64 = 40_000;
-/// Time for what can be done to be done.
+/// Time within which sound jobs must complete.
 const DONE_MS: u64 = 40_000;
 
 fn job(steps: Vec<Step>) -> JobSpec {
@@ -33,12 +34,12 @@
     }
 }
 
-/// How crashed endpoints come back.
+/// How crashed endpoints are replaced.
 #[derive(Debug, Clone, Copy)]
 enum RestartMode {
     /// Under a new name.
     Renamed,
-    /// Under the name that they had, after some milliseconds.
+    /// Under the same name, after this many milliseconds.
     SameName(u64),
 }
 
@@ -66,21 +67,21 @@
     })
 }
 
-/// Submits a short job that can be done, and returns the number of the next one.
+/// Submits a short sound job, and returns the id of the next one.
 fn submit_sound(world: &mut World, id: u64) -> u64 {
     let work_ms = 200 + world.random.below(1_500);
     world.submit(id, job(vec![step(2, work_ms)]));
     id + 1
 }
 
-/// Panics unless every accepted job but the culprit is completed in time; those that an endpoint has reported as
-/// failed as often as allowed may have failed.
+/// Panics unless every accepted sound job completes in time. A job that has used its attempts,
+/// according to the failures that endpoints have reported, may have failed.
 fn assert_sound_jobs_done(world: &mut World, name: &str) {
     let end = world.now + DONE_MS;
     let mut left: Vec<JobId> = world.accepted.iter().copied().collect();
     left.retain(|id| id.0 >= FIRST_SOUND_JOB);
     while !left.is_empty() {
-        assert!(world.now < end, "{name}: not done: {left:?}");
+        assert!(world.now < end, "{name}: not completed: {left:?}");
         let mut waiting = Vec::new();
         for id in left {
             match world.ask(Request::State {
@@ -91,7 +92,7 @@
                 Answer::State(JobState::Failed) => {
                     assert!(
                         world.has_used_attempts(id),
-                        "{name}: job {id} shown as failed"
+                        "{name}: job {id} reported as failed"
                     );
                 }
                 _ => waiting.push(id),
@@ -104,19 +105,20 @@
     assert_eq!(world.violations, Vec::<String>::new(), "{name}");
 }
 
-/// What happens beside the crashes.
+/// A fault at the time of the crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConcurrentFault {
     Nothing,
-    /// The holder's process is killed after each crash, before anybody knows of it.
+    /// The holder's process is killed after each crash, before any node has detected it.
     HolderKilled,
-    /// The same at once after each start, so that the crash falls into the takeover.
+    /// The holder's process is killed after every second start, so that the crash falls into the
+    /// takeover.
     HolderKilledAtStarts,
-    /// The holder stands still after each crash, for longer than a takeover takes.
+    /// The holder is frozen after each crash, for longer than a takeover takes.
     HolderFrozen,
-    /// Answers of the store are lost.
+    /// Some answers of the store are lost.
     StoreLosesAnswers,
-    /// Orders come late.
+    /// Some orders arrive late.
     LateOrders,
 }
 
@@ -132,7 +134,8 @@
     let (started, crashed) = (now.0 > before.0, now.1 > before.1);
     match concurrent_fault {
         ConcurrentFault::HolderKilled if crashed => world.kill(holder),
-        // Whoever comes next is spared, so that somebody can work: nobody can count what was never stored.
+        // The next holder is spared so that it can store something: starts that are never stored
+        // cannot be counted.
         ConcurrentFault::HolderKilledAtStarts if started && now.0 % 2 == 0 => world.kill(holder),
         ConcurrentFault::HolderFrozen if crashed => {
             world.nodes[holder].frozen_until_ms = world.now + 4_000;
@@ -143,7 +146,7 @@
     }
 }
 
-/// A task that crashes endpoints, and what happens beside it.
+/// A task that crashes endpoints, and a fault at the time of the crashes.
 struct CrashCase {
     name: &'static str,
     step: Step,
@@ -168,35 +171,32 @@
         gang: true,
         ..step(5, 2_000)
     };
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         ..step(2, 600_000)
     };
-    let usual = |name, concurrent_fault| CrashCase {
+    let crash_at_once = |name, concurrent_fault| CrashCase {
         name,
         step: step(1, 2_000),
         crashing: at_once,
         concurrent_fault,
     };
     vec![
-        usual("at once", ConcurrentFault::Nothing),
-        usual(
-            "the holder is killed after each crash",
+        crash_at_once("at the start", ConcurrentFault::Nothing),
+        crash_at_once(
+            "holder killed after each crash",
             ConcurrentFault::HolderKilled,
         ),
-        usual(
-            "the holder is killed with each second start",
+        crash_at_once(
+            "holder killed after each second start",
             ConcurrentFault::HolderKilledAtStarts,
         ),
-        usual(
-            "the holder stands still after each crash",
+        crash_at_once(
+            "holder frozen after each crash",
             ConcurrentFault::HolderFrozen,
         ),
-        usual(
-            "answers of the store are lost",
-            ConcurrentFault::StoreLosesAnswers,
-        ),
-        usual("orders come late", ConcurrentFault::LateOrders),
+        crash_at_once("store answers lost", ConcurrentFault::StoreLosesAnswers),
+        crash_at_once("orders arrive late", ConcurrentFault::LateOrders),
         CrashCase {
             name: "after a while",
             step: step(1, 2_000),
@@ -234,14 +234,14 @@
             concurrent_fault: ConcurrentFault::Nothing,
         },
         CrashCase {
-            name: "a task that lasts",
-            step: lasting.clone(),
+            name: "a long-running task",
+            step: long_running.clone(),
             crashing: at_once,
             concurrent_fault: ConcurrentFault::Nothing,
         },
         CrashCase {
-            name: "a task that lasts, after a while",
-            step: lasting,
+            name: "a long-running task, after a while",
+            step: long_running,
             crashing: after(3_000),
             concurrent_fault: ConcurrentFault::Nothing,
         },
@@ -305,7 +305,7 @@
     assert_eq!(world.starts_and_crashes_of(JobId(CRASHING_JOB)), before);
 }
 
-/// A job that can be done, and what its endpoints do meanwhile.
+/// A sound job, and a fault of its endpoints that recurs while it runs.
 struct EndpointFaultCase {
     name: &'static str,
     spec: JobSpec,
@@ -326,8 +326,8 @@
     }
 }
 
-/// Crashes the endpoints on which the job runs, if it has been there for a second, three times. Once more could not be
-/// told from a task that is at fault.
+/// Crashes the endpoints that have run the job for a second, up to three times. One more crash
+/// could not be distinguished from a task that causes them.
 fn crash_endpoints_running_job(world: &mut World) {
     let now = world.now;
     if world.max_crashes_under(JobId(FIRST_SOUND_JOB)) >= 3 {
@@ -376,19 +376,19 @@
         gang: true,
         ..step(12, 4_000)
     };
-    let lasting = Step {
+    let long_running = Step {
         long_running: true,
         ..step(4, 600_000)
     };
     vec![
         EndpointFaultCase {
-            name: "a rack crashes each two seconds",
+            name: "a rack crashes every two seconds",
             spec: job(vec![step(6, 4_000)]),
             every_ms: 2_000,
             inject_fault: crash_rack,
         },
         EndpointFaultCase {
-            name: "a gang, a rack crashes each three seconds",
+            name: "a gang, a rack crashes every three seconds",
             spec: job(vec![gang]),
             every_ms: 3_000,
             inject_fault: crash_rack,
@@ -406,14 +406,14 @@
             inject_fault: cut_off_endpoints,
         },
         EndpointFaultCase {
-            name: "endpoints leave",
+            name: "endpoints drain and leave",
             spec: job(vec![step(6, 3_000)]),
             every_ms: 2_500,
             inject_fault: drain_and_remove_endpoints,
         },
         EndpointFaultCase {
-            name: "tasks that last, a rack crashes each three seconds",
-            spec: job(vec![lasting]),
+            name: "long-running tasks, a rack crashes every three seconds",
+            spec: job(vec![long_running]),
             every_ms: 3_000,
             inject_fault: crash_rack,
         },
@@ -425,7 +425,7 @@
     for case in endpoint_fault_cases() {
         for (seed, restart_mode) in (0..8).zip(RESTART_MODES.into_iter().cycle()) {
             let mut world = ready_world(seed, restart_mode);
-            let lasts = case.spec.steps[0].long_running;
+            let long_running = case.spec.steps[0].long_running;
             assert_eq!(
                 world.submit(FIRST_SOUND_JOB, case.spec.clone()),
                 Answer::Accepted
@@ -436,7 +436,7 @@
                 world.run(case.every_ms);
                 sound = submit_sound(&mut world, sound);
             }
-            if lasts {
+            if long_running {
                 world.run(12_000);
                 let answer = state(&mut world, FIRST_SOUND_JOB);
                 assert_eq!(answer, Answer::State(JobState::Running), "{}", case.name);
@@ -444,10 +444,10 @@
                     .endpoints
                     .values()
                     .flat_map(|endpoint| endpoint.running.keys());
-                let at_work = running
+                let running = running
                     .filter(|task| task.job == JobId(FIRST_SOUND_JOB))
                     .count();
-                assert_eq!(at_work, 4, "{}: tasks at work", case.name);
+                assert_eq!(running, 4, "{}: running tasks", case.name);
                 world.accepted.remove(&JobId(FIRST_SOUND_JOB));
             }
             assert_sound_jobs_done(&mut world, &format!("{}, seed {seed}", case.name));
@@ -460,13 +460,13 @@
     for (seed, restart_mode) in (0..12).zip(RESTART_MODES.into_iter().cycle()) {
         let mut world = ready_world(seed, restart_mode);
         let mut sound = FIRST_SOUND_JOB;
-        for culprit in 1..=4 {
+        for crashing_job in 1..=4 {
             let crashing = CrashBehavior {
                 after_ms: 10,
                 index: None,
             };
-            world.crashing.insert(JobId(culprit), crashing);
-            world.submit(culprit, job(vec![step(1, 1_000)]));
+            world.crashing.insert(JobId(crashing_job), crashing);
+            world.submit(crashing_job, job(vec![step(1, 1_000)]));
             for _ in 0..6 {
                 sound = submit_sound(&mut world, sound);
                 world.run(100);
@@ -474,11 +474,11 @@
         }
         world.run(GIVEN_UP_MS);
         assert_sound_jobs_done(&mut world, &format!("seed {seed}"));
-        for culprit in 1..=4 {
-            let answer = state(&mut world, culprit);
+        for crashing_job in 1..=4 {
+            let answer = state(&mut world, crashing_job);
             assert_eq!(answer, Answer::State(JobState::Failed), "seed {seed}");
             let task = TaskKey {
-                job: JobId(culprit),
+                job: JobId(crashing_job),
                 occurrence: 0,
                 step: 0,
                 index: 0,
--- a/crates/chervilfall_planner/tests/first_holds.rs
+++ b/crates/chervilfall_planner/tests/first_holds.rs
@@ -1,7 +1,8 @@
 //! How a new holder of a large fleet reaches its endpoints.
 //!
-//! It held them all at the same moment. On 3,000 endpoints the answers kept its processor for over a second, renewals of
-//! the claim waited behind them, the next node claimed the group and did the same.
+//! Guards against holding all of them at the same moment. With 3,000 endpoints the answers kept the
+//! holder's CPU busy for over a second and delayed the renewals of its claim; the next node claimed
+//! the group and did the same.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,7 +13,7 @@
 };
 
 const ENDPOINTS: usize = 3_000;
-/// Holds of endpoints that have not answered yet, at one moment.
+/// Maximum number of first holds that are sent at one moment.
 const MAX_FIRST_HOLDS: usize = 128;
 
 fn takeover() -> Takeover {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Time from a hold to its answer; none for endpoints that do not answer.
+/// Returns the time from a hold to its answer by endpoint number; none if it does not answer.
 type AnswerDelay = fn(usize) -> Option<u64>;
 
 #[test]
@@ -48,7 +49,7 @@
     struct Case {
         name: &'static str,
         answer_delay: AnswerDelay,
-        /// Time until all that answer have been heard.
+        /// Time until all endpoints that answer must have been held.
         within_ms: u64,
     }
     let cases = [
@@ -114,7 +115,7 @@
                         Action::Hold(order) => {
                             let number: usize = order.id.0.parse().expect("a number");
                             first_holds += usize::from(not_reached.contains(&number));
-                            let Some(way_ms) = (case.answer_delay)(number) else {
+                            let Some(delay_ms) = (case.answer_delay)(number) else {
                                 let event = Event::Held {
                                     endpoint: order.endpoint,
                                     sent_ms: now,
@@ -133,7 +134,7 @@
                                 sent_ms: now,
                                 answer: HoldAnswer::Report(report),
                             };
-                            answers.push((now + way_ms, event));
+                            answers.push((now + delay_ms, event));
                         }
                         _ => {}
                     }
--- a/crates/chervilfall_planner/tests/world/nodes.rs
+++ b/crates/chervilfall_planner/tests/world/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: planners, candidates, and what their actions become.
+//! Nodes: their planners and candidates, and how the planners' actions are carried out.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::random::Random;
 use super::{ScheduledEvent, World, ONE_WAY_DELAY_MS, START_UNIX_MS, TIMEOUT_MS};
 
-/// Time that a new holder takes at most to read what it can do without until then.
+/// Maximum time that a new holder takes to read the tables that it does not need at once.
 const HISTORY_READ_MS: u64 = 1_500;
 
 impl World {
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Tells the holder, once a link to it can work, what this node has started and could not store.
+    /// Forwards this node's starts that it could not store to the holder, once a link to it can
+    /// work.
     fn forward_unstored_starts(&mut self, node: usize) {
         let Some(holder) = self.holder() else {
             return;
@@ -126,7 +127,8 @@
         self.read_history(node);
     }
 
-    /// Tells a new holder in several parts, and some time after its takeover, what it can do without until then.
+    /// Delivers the texts and ended jobs to a new holder, in several parts and some time after its
+    /// takeover.
     fn read_history(&mut self, node: usize) {
         let term = self.nodes[node].planner.as_ref().map_or(0, Planner::term);
         let parse = |key: &String| key.parse::<JobId>().expect("job id");
@@ -141,7 +143,7 @@
             (parse(key), row)
         });
         let (texts, ended): (Vec<_>, Vec<_>) = (texts.collect(), ended.collect());
-        // A generator of its own, so that older seeds stand for the same plays.
+        // A separate generator, so that existing seeds reproduce the same histories.
         let mut random = Random::new(self.now + term);
         let mut at_ms = 0;
         let mut events: Vec<Event> = Vec::new();
@@ -170,7 +172,7 @@
         );
     }
 
-    /// Answers a look at the row of an ended job.
+    /// Answers a lookup of an ended job's row.
     fn look_up(&mut self, node: usize, term: u64, id: JobId) {
         let look = if self.store_reachable(node) {
             match self.store.row("ended", &id.to_string()) {
@@ -269,7 +271,7 @@
         }
     }
 
-    /// Returns whether the advice service allows a step an endpoint, which never changes.
+    /// Returns whether the advice service allows a step to use an endpoint; this never changes.
     fn is_endpoint_allowed(&self, step: &str, id: &EndpointId) -> bool {
         let mut hasher = DefaultHasher::new();
         (step, id).hash(&mut hasher);
--- a/crates/chervilfall_planner/tests/world/orders.rs
+++ b/crates/chervilfall_planner/tests/world/orders.rs
@@ -1,17 +1,17 @@
-//! Orders to endpoints: cut, carried out late, answered.
+//! Delivery of orders to endpoints: lost, late, or answered.
 
 use chervilfall_planner::{Action, EndpointId, Event, HoldAnswer, StartAnswer, StopAnswer};
 
 use super::{ScheduledEvent, World, ONE_WAY_DELAY_MS, TIMEOUT_MS};
 
-/// Milliseconds without disturbance after which a node is in touch.
+/// Milliseconds without a fault after which a node counts as undisturbed.
 const UNDISTURBED_MS: u64 = 3_000;
 
 impl World {
     pub(super) fn send_order(&mut self, node: usize, term: u64, action: Action) {
         let id = order_target(&action).clone();
-        let there = self.endpoints.get(&id);
-        let cut = there.is_none_or(|endpoint| endpoint.dead) || self.is_cut_off(node, &id);
+        let endpoint = self.endpoints.get(&id);
+        let cut = endpoint.is_none_or(|endpoint| endpoint.dead) || self.is_cut_off(node, &id);
         let unanswered_event = unanswered_event(&action, self.now);
         let mut wait_ms = TIMEOUT_MS;
         if let Action::Hold(order) = &action {
@@ -33,7 +33,7 @@
             .delay_to_next_incarnation(&id, wait_ms)
             .filter(|_| !self.is_cut_off(node, &id));
         if let Some(delay_ms) = next_life {
-            // The connection is tried again until the next incarnation takes it.
+            // The caller retries the connection until the next incarnation accepts it.
             let sent_ms = self.now;
             self.schedule(
                 delay_ms,
@@ -68,15 +68,15 @@
         );
     }
 
-    /// Returns whether no order of a node reaches an endpoint now.
+    /// Returns whether a node's orders cannot reach an endpoint now.
     fn is_cut_off(&self, node: usize, id: &EndpointId) -> bool {
-        let there = self.endpoints.get(id);
-        let cut = there.is_some_and(|endpoint| endpoint.cut_until_ms > self.now);
+        let endpoint = self.endpoints.get(id);
+        let cut = endpoint.is_some_and(|endpoint| endpoint.cut_until_ms > self.now);
         cut || self.nodes[node].cut_until_ms > self.now || self.is_partitioned(node, id)
     }
 
-    /// Returns after how long an order to a crashed endpoint is taken by the incarnation that follows under its name, if
-    /// its caller waits for so long.
+    /// Returns the delay until the next incarnation of a crashed endpoint, under the same name,
+    /// accepts an order, if the caller waits that long.
     fn delay_to_next_incarnation(&self, id: &EndpointId, wait_ms: u64) -> Option<u64> {
         let endpoint = self.endpoints.get(id)?;
         let (crashed_ms, _) = endpoint.crashed.filter(|_| self.keeps_names)?;
@@ -85,12 +85,13 @@
         (delay_ms < wait_ms).then_some(delay_ms)
     }
 
-    /// Returns whether a node has been undisturbed for a while, and so has the store for it.
+    /// Returns whether neither a node nor its connection to the store has had a fault for
+    /// `UNDISTURBED_MS`.
     fn is_undisturbed(&self, node: usize) -> bool {
         let Some(node) = self.nodes.get(node) else {
             return false;
         };
-        let troubles = [
+        let faults_until_ms = [
             node.frozen_until_ms,
             node.cut_until_ms,
             node.store_cut_until_ms,
@@ -99,8 +100,8 @@
             self.partitioned_until_ms,
             self.store_lossy_ms,
         ];
-        let calm = |until_ms: &u64| until_ms.saturating_add(UNDISTURBED_MS) <= self.now;
-        troubles.iter().all(calm)
+        let is_over = |until_ms: &u64| until_ms.saturating_add(UNDISTURBED_MS) <= self.now;
+        faults_until_ms.iter().all(is_over)
     }
 
     pub(super) fn is_partitioned(&self, node: usize, id: &EndpointId) -> bool {
@@ -111,12 +112,12 @@
     pub(super) fn deliver_order(&mut self, node: usize, term: u64, action: Action, sent_ms: u64) {
         let now = self.now;
         let id = order_target(&action).clone();
-        let in_touch = self.is_undisturbed(node);
+        let undisturbed = self.is_undisturbed(node);
         let Some(endpoint) = self.endpoints.get_mut(&id) else {
             return;
         };
         let late = node == usize::MAX;
-        // What an endpoint has received and not carried out is gone with it.
+        // Orders that an endpoint has received and not carried out are lost when it crashes.
         if late && endpoint.started_ms > sent_ms {
             return;
         }
@@ -132,7 +133,7 @@
                 let spec = self.jobs.get(&order.task.job).cloned();
                 let crashing = self.crashing.get(&order.task.job).copied();
                 let answer = endpoint.start(now, &order, spec.as_ref(), crashing, &mut self.random);
-                if in_touch && endpoint.starts.last() == Some(&(now, order.task, order.run)) {
+                if undisturbed && endpoint.starts.last() == Some(&(now, order.task, order.run)) {
                     endpoint
                         .starts_by_undisturbed_nodes
                         .push((now, order.task, order.run));
@@ -224,7 +225,7 @@
     answer_event(action, sent_ms, answers)
 }
 
-/// Returns the event that answers an order, by its kind.
+/// Returns the event that answers an order, with the answer for its kind.
 fn answer_event(
     action: &Action,
     sent_ms: u64,
