--- a/crates/chervilfall_planner/src/planner/mod.rs
+++ b/crates/chervilfall_planner/src/planner/mod.rs
@@ -2,8 +2,8 @@
 
 mod accounts;
 mod activation;
-mod advice_targets;
 mod advise;
+mod ask;
 mod barrier;
 mod batch;
 mod commits;
--- a/crates/chervilfall_planner/src/planner/schedule.rs
+++ b/crates/chervilfall_planner/src/planner/schedule.rs
@@ -13,7 +13,7 @@
 use crate::ids::{Millis, Run};
 use crate::job::{JobSpec, Step};
 use crate::limits::Limits;
-use crate::planner::advice_targets::max_calls_in_flight;
+use crate::planner::ask::max_calls_in_flight;
 use crate::planner::suspects::{WaitingTask, WaitingTasks};
 use crate::planner::Planner;
 use crate::policy::headroom::HeadroomSlots;
