--- a/crates/chervilfall_cli/src/commands/explain.rs
+++ b/crates/chervilfall_cli/src/commands/explain.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Context;
 use chervilfall_client::RpcClient;
-use chervilfall_story::Story;
+use chervilfall_story::JobTimeline;
 
 use crate::args::Explain;
 use crate::commands::logs;
@@ -33,7 +33,7 @@
 /// Returns an error if a file can't be read or no line is about the job.
 pub(super) fn from_logs(json: bool, args: &Explain) -> anyhow::Result<ExitStatus> {
     let read = logs::read(&args.log)?;
-    let story = Story::tell(&args.key, &read).with_context(|| {
+    let timeline = JobTimeline::build(&args.key, &read).with_context(|| {
         format!(
             "none of {} lines is about job {}",
             read.lines.len(),
@@ -41,9 +41,9 @@
         )
     })?;
     if json {
-        print::json(&story)?;
+        print::json(&timeline)?;
     } else {
-        print!("{story}");
+        print!("{timeline}");
     }
     Ok(ExitStatus::Success)
 }
--- a/crates/chervilfall_cli/src/commands/logs.rs
+++ b/crates/chervilfall_cli/src/commands/logs.rs
@@ -5,15 +5,15 @@
 use std::path::PathBuf;
 
 use anyhow::Context;
-use chervilfall_story::{read_lines, Lines};
+use chervilfall_story::{read_lines, ParsedLines};
 
 /// Reads the lines of all files.
 ///
 /// # Errors
 ///
 /// Returns an error if a file can't be read.
-pub(super) fn read(paths: &[PathBuf]) -> anyhow::Result<Lines> {
-    let mut read = Lines::default();
+pub(super) fn read(paths: &[PathBuf]) -> anyhow::Result<ParsedLines> {
+    let mut read = ParsedLines::default();
     for path in paths {
         let file = File::open(path).with_context(|| format!("can't open {}", path.display()))?;
         let lines = read_lines(BufReader::new(file))
--- a/crates/chervilfall_cli/src/commands/report.rs
+++ b/crates/chervilfall_cli/src/commands/report.rs
@@ -36,7 +36,7 @@
 pub(super) fn from_logs(json: bool, args: &Report) -> anyhow::Result<ExitStatus> {
     check_name(&args.what)?;
     let read = logs::read(&args.log)?;
-    let burn = Burn::count(&read.lines, args.success_permille)?;
+    let burn = Burn::from_lines(&read.lines, args.success_permille)?;
     if let Some(path) = &args.html {
         let page = page(&burn)?;
         fs::write(path, page).with_context(|| format!("can't write {}", path.display()))?;
--- a/crates/chervilfall_daemon/src/commands/serve.rs
+++ b/crates/chervilfall_daemon/src/commands/serve.rs
@@ -11,7 +11,7 @@
 use chervilfall_kernel::Kernel;
 use chervilfall_link::LinkSettings;
 use chervilfall_settings::Settings;
-use chervilfall_telemetry::{open_logs, Meter};
+use chervilfall_telemetry::{open_logs, MetricsHandle};
 use chervilfall_types::EntryIncarnation;
 use chervilfall_wire::PeerAddress;
 use tokio::runtime::Builder;
@@ -75,7 +75,7 @@
         caller: Secret::read(&settings.rpc.caller_token_file)?,
         operator: Secret::read(&settings.rpc.operator_token_file)?,
         limits: settings.rpc.limits,
-        meter: Meter::open()?,
+        meter: MetricsHandle::open()?,
     };
     kernel.open::<Gateway>(gateway).await?;
     Ok(kernel)
--- a/crates/chervilfall_gateway/src/service.rs
+++ b/crates/chervilfall_gateway/src/service.rs
@@ -8,7 +8,7 @@
 use chervilfall_guard::{GuardResponses, RequestGuard, RequestGuardSettings};
 use chervilfall_kernel::{Directory, MissingService, Service};
 use chervilfall_settings::RpcLimits;
-use chervilfall_telemetry::Meter;
+use chervilfall_telemetry::MetricsHandle;
 use chervilfall_types::EntryId;
 use rocket::config::{LogLevel, Shutdown as ShutdownConfig};
 use rocket::fairing::AdHoc;
@@ -39,7 +39,7 @@
     /// Limits.
     pub limits: RpcLimits,
     /// Metrics of this process.
-    pub meter: Meter,
+    pub meter: MetricsHandle,
 }
 
 /// Why the gateway can't start.
@@ -70,7 +70,7 @@
     pub(crate) operator: Secret,
     pub(crate) limits: RpcLimits,
     pub(crate) permits: Arc<Semaphore>,
-    pub(crate) meter: Meter,
+    pub(crate) meter: MetricsHandle,
 }
 
 /// The running gateway.
--- a/crates/chervilfall_planner/src/planner/endpoints.rs
+++ b/crates/chervilfall_planner/src/planner/endpoints.rs
@@ -56,7 +56,7 @@
     pub(super) fn update_endpoint_list(&mut self, read_ms: Millis, entries: Vec<EndpointEntry>) {
         let mut listed: BTreeSet<EndpointId> = BTreeSet::new();
         for entry in entries {
-            if self.written_by_other_writer(&entry) {
+            if self.lacks_reported_start_time(&entry) {
                 log::warn!(endpoint:% = entry.id; "entry does not say when its endpoint was started, as the endpoint does");
                 continue;
             }
@@ -78,7 +78,7 @@
     }
 
     /// Returns whether an entry lacks a member that its endpoint has in all that it says: another writer's.
-    fn written_by_other_writer(&self, entry: &EndpointEntry) -> bool {
+    fn lacks_reported_start_time(&self, entry: &EndpointEntry) -> bool {
         let key = self.endpoint_keys.get(&entry.id);
         let endpoint = key.and_then(|key| self.endpoints.get(*key));
         entry.born_ms.is_none() && endpoint.is_some_and(|endpoint| endpoint.born_ms.is_some())
@@ -158,7 +158,7 @@
             HoldAnswer::Fenced => self.step_down(StepDownReason::Fenced),
             // Holds go to the address of the entry; that of another incarnation says nothing of this one.
             HoldAnswer::OtherIncarnation if endpoint.entry_is_of_incarnation() => {
-                self.incarnation_replaced(key);
+                self.give_up_replaced_endpoint(key);
             }
             HoldAnswer::Report(_)
             | HoldAnswer::OtherIncarnation
@@ -402,7 +402,7 @@
         }
     }
 
-    pub(super) fn incarnation_replaced(&mut self, key: EndpointKey) {
+    pub(super) fn give_up_replaced_endpoint(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get_mut(key) else {
             return;
         };
--- a/crates/chervilfall_planner/src/planner/orders.rs
+++ b/crates/chervilfall_planner/src/planner/orders.rs
@@ -230,7 +230,7 @@
                 self.confirm_start(task);
             }
             StartAnswer::Refused(refusal) => self.handle_start_refusal(key, task, run, *refusal),
-            StartAnswer::OtherIncarnation => self.incarnation_replaced(key),
+            StartAnswer::OtherIncarnation => self.give_up_replaced_endpoint(key),
             StartAnswer::Unanswered => {
                 metrics::unanswered("start");
                 if placed.phase != RunPhase::Starting {
@@ -386,7 +386,7 @@
                 }
             }
             StopAnswer::Fenced => self.step_down(StepDownReason::Fenced),
-            StopAnswer::OtherIncarnation => self.incarnation_replaced(key),
+            StopAnswer::OtherIncarnation => self.give_up_replaced_endpoint(key),
             // Sent again by `send_stops`.
             StopAnswer::Refused | StopAnswer::Unanswered => {}
         }
--- a/crates/chervilfall_planner/src/planner/schedule.rs
+++ b/crates/chervilfall_planner/src/planner/schedule.rs
@@ -58,7 +58,7 @@
         &self.spec.steps[self.step_index]
     }
 
-    pub(super) fn need(&self) -> Resources {
+    pub(super) fn required_resources(&self) -> Resources {
         Resources::of_step(self.step())
     }
 }
@@ -192,7 +192,7 @@
     }
 
     /// Returns the endpoints that the step may use now if it keeps away from what has just begun.
-    pub(super) fn exclusive_offers(&self, key: StepKey, request: &StepRequest) -> Vec<Offer> {
+    pub(super) fn offers_for_suspects(&self, key: StepKey, request: &StepRequest) -> Vec<Offer> {
         let candidates = self.candidates(key, request, || self.endpoints.keys().collect());
         let takes = |endpoint: &Endpoint, now, limits: &Limits| {
             let kept = endpoint.reserved_for(now);
@@ -228,7 +228,7 @@
         let Some(progress) = job.and_then(|job| job.step_progress(key)) else {
             return Vec::new();
         };
-        let need = request.need();
+        let need = request.required_resources();
         let usable = candidates.into_iter().filter_map(|endpoint_key| {
             let endpoint = self.endpoints.get(endpoint_key)?;
             let fits = endpoint.free().can_fit(need)
@@ -324,7 +324,7 @@
             return;
         }
         let mut offers = self.offers(pass, key, request);
-        let need = request.need();
+        let need = request.required_resources();
         let headroom_slots = pass.headroom_slots.get_mut(&request.service);
         let picks = match headroom_slots.filter(|_| self.must_leave_headroom(key, request)) {
             Some(slots) => pick_keeping_headroom(&mut offers, need, count, slots),
@@ -389,7 +389,7 @@
         offers: &mut [Offer],
         count: u32,
     ) -> Vec<EndpointKey> {
-        let need = request.need();
+        let need = request.required_resources();
         if request.step().same_rack {
             let mut racks: BTreeMap<Option<&String>, Vec<Offer>> = BTreeMap::new();
             for offer in offers.iter() {
--- a/crates/chervilfall_planner/src/planner/suspects.rs
+++ b/crates/chervilfall_planner/src/planner/suspects.rs
@@ -93,7 +93,12 @@
             }
             let mut offers = self.least_loaded_offers(key, request, exclusive);
             let count = count(tasks);
-            let picks = pick_endpoints(&mut offers, request.need(), count, request.latency_class);
+            let picks = pick_endpoints(
+                &mut offers,
+                request.required_resources(),
+                count,
+                request.latency_class,
+            );
             if exclusive {
                 self.update_exclusive_search(key, request, count, picks.is_empty());
             }
@@ -117,8 +122,13 @@
         let mut offers = self.least_loaded_offers(key, request, exclusive);
         let startable: Vec<WaitingTask> = waiting.startable().copied().collect();
         let count = count(&startable);
-        let picks = pick_all_or_none(&mut offers, request.need(), count, request.latency_class)
-            .unwrap_or_default();
+        let picks = pick_all_or_none(
+            &mut offers,
+            request.required_resources(),
+            count,
+            request.latency_class,
+        )
+        .unwrap_or_default();
         if exclusive {
             self.update_exclusive_search(key, request, count, picks.is_empty());
         }
@@ -140,7 +150,7 @@
         request: &StepRequest,
         exclusive: bool,
     ) -> Vec<Offer> {
-        let mut offers = self.exclusive_offers(key, request);
+        let mut offers = self.offers_for_suspects(key, request);
         if exclusive && self.exclusive_search_ms(key) < EMPTY_ENDPOINT_WAIT_MS {
             offers.retain(|offer| self.endpoints[offer.endpoint].placed.is_empty());
         }
@@ -180,8 +190,8 @@
         searches: bool,
     ) {
         let now = self.now;
-        let need = request.need();
-        let mut offers = self.exclusive_offers(key, request);
+        let need = request.required_resources();
+        let mut offers = self.offers_for_suspects(key, request);
         // While no endpoint can be had at all, nothing is waited for.
         let searches = searches && !offers.is_empty();
         let job = self.jobs.get_mut(&key.job);
--- a/crates/chervilfall_story/src/burn.rs
+++ b/crates/chervilfall_story/src/burn.rs
@@ -34,7 +34,7 @@
     Share(u64),
     /// No line says that a job ended or was refused.
     #[error("no line says that a job ended or was refused")]
-    Nothing,
+    NoJobs,
 }
 
 /// Burn of one bucket.
@@ -100,18 +100,18 @@
     /// # Errors
     ///
     /// Returns an error if `success_permille` leaves no budget or no line counts.
-    pub fn count(lines: &[LogLine], success_permille: u64) -> Result<Self, BurnError> {
+    pub fn from_lines(lines: &[LogLine], success_permille: u64) -> Result<Self, BurnError> {
         if success_permille >= WHOLE_PERMILLE {
             return Err(BurnError::Share(success_permille));
         }
         let first_ms = lines.iter().map(|line| line.unix_ms).min();
         let last_ms = lines.iter().map(|line| line.unix_ms).max();
         let (Some(first_ms), Some(last_ms)) = (first_ms, last_ms) else {
-            return Err(BurnError::Nothing);
+            return Err(BurnError::NoJobs);
         };
         let queues = buckets(lines, first_ms);
         if queues.is_empty() {
-            return Err(BurnError::Nothing);
+            return Err(BurnError::NoJobs);
         }
         let log_ms = last_ms - first_ms;
         let rows = queues
@@ -142,7 +142,7 @@
     let mut seen = BTreeSet::new();
     for line in lines {
         let (Some(bad), Some(queue), Some(job)) =
-            (verdict(line), line.text("queue"), line.text("job"))
+            (is_bad_request(line), line.text("queue"), line.text("job"))
         else {
             continue;
         };
@@ -164,7 +164,7 @@
 }
 
 /// Returns whether a line tells of a bad request; `None` if it tells of none that counts.
-fn verdict(line: &LogLine) -> Option<bool> {
+fn is_bad_request(line: &LogLine) -> Option<bool> {
     if REFUSED.contains(&line.event.as_str()) {
         return Some(true);
     }
--- a/crates/chervilfall_story/src/line.rs
+++ b/crates/chervilfall_story/src/line.rs
@@ -37,7 +37,7 @@
 
     /// Returns whether the line is about the job, one of its steps or one of its tasks.
     #[must_use]
-    pub fn touches(&self, job: &str) -> bool {
+    pub fn concerns_job(&self, job: &str) -> bool {
         ["job", "step", "task"]
             .iter()
             .filter_map(|field| self.text(field))
@@ -47,7 +47,7 @@
 
 /// Lines that were read.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Lines {
+pub struct ParsedLines {
     /// Lines that could be read, as they came.
     pub lines: Vec<LogLine>,
     /// Lines with an object that could not be read, for instance because they were cut.
@@ -60,8 +60,8 @@
 /// # Errors
 ///
 /// Returns an error if `reader` fails.
-pub fn read_lines(mut reader: impl BufRead) -> io::Result<Lines> {
-    let mut found = Lines::default();
+pub fn read_lines(mut reader: impl BufRead) -> io::Result<ParsedLines> {
+    let mut found = ParsedLines::default();
     let mut bytes = Vec::new();
     loop {
         bytes.clear();
--- a/crates/chervilfall_story/src/story.rs
+++ b/crates/chervilfall_story/src/timeline.rs
@@ -6,17 +6,17 @@
 use serde::Serialize;
 
 use crate::clocks::{differences, ClockDifference};
-use crate::line::{Lines, LogLine};
+use crate::line::{LogLine, ParsedLines};
 
 /// Time before a job's first line and after its last for which circumstances are told: a takeover takes
 /// up to 2 s.
-const AROUND_MS: u64 = 2_000;
+const CONTEXT_MS: u64 = 2_000;
 /// Lines of one node about the same event that follow each other within this time are told as one.
-const FOLD_MS: u64 = 50;
+const REPEAT_WINDOW_MS: u64 = 50;
 /// Event of the line that says how many lines were left out.
 const LEFT_OUT: &str = "log lines left out";
 /// Events that tell how the group or its dependencies fared.
-const CIRCUMSTANCES: [&str; 9] = [
+const GROUP_EVENTS: [&str; 9] = [
     "group taken over",
     "group given up",
     "group claimed",
@@ -30,7 +30,7 @@
 
 /// Something that happened, once or several times in a row.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Entry {
+pub struct TimelineEntry {
     /// Time since the job's first line; negative for what happened before it.
     pub at_ms: i64,
     /// Lines that it stands for.
@@ -52,13 +52,13 @@
 
 /// What happened to a job.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Story {
+pub struct JobTimeline {
     /// Job.
     pub job: String,
     /// Nodes that have lines about it.
     pub nodes: Vec<String>,
     /// What happened, in order of time.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<TimelineEntry>,
     /// Position of the entry before which most time passed without a line about the job.
     pub widest_gap: Option<usize>,
     /// Differences of clocks that the lines show.
@@ -69,14 +69,18 @@
     pub unreadable: usize,
 }
 
-impl Story {
+impl JobTimeline {
     /// Tells what happened to `job`; `None` if no line is about it.
     #[must_use]
-    pub fn tell(job: &str, read: &Lines) -> Option<Self> {
-        let own: Vec<&LogLine> = read.lines.iter().filter(|line| line.touches(job)).collect();
+    pub fn build(job: &str, read: &ParsedLines) -> Option<Self> {
+        let own: Vec<&LogLine> = read
+            .lines
+            .iter()
+            .filter(|line| line.concerns_job(job))
+            .collect();
         let first_ms = own.iter().map(|line| line.unix_ms).min()?;
         let last_ms = own.iter().map(|line| line.unix_ms).max()?;
-        let window = first_ms.saturating_sub(AROUND_MS)..=last_ms + AROUND_MS;
+        let window = first_ms.saturating_sub(CONTEXT_MS)..=last_ms + CONTEXT_MS;
         let endpoints: BTreeSet<&str> = own
             .iter()
             .filter_map(|line| line.text("endpoint"))
@@ -89,10 +93,10 @@
         let circumstances = around
             .iter()
             .copied()
-            .filter(|line| !line.touches(job) && is_circumstance(line, &endpoints));
+            .filter(|line| !line.concerns_job(job) && is_context(line, &endpoints));
         let mut lines: Vec<&LogLine> = own.iter().copied().chain(circumstances).collect();
         lines.sort_by_key(|line| line.unix_ms);
-        let entries = fold(&lines, job, first_ms);
+        let entries = merge_repeats(&lines, job, first_ms);
         let left_out = around.iter().filter(|line| line.event == LEFT_OUT);
         let nodes: BTreeSet<&str> = own.iter().map(|line| line.node.as_str()).collect();
         Some(Self {
@@ -112,8 +116,8 @@
     }
 }
 
-fn is_circumstance(line: &LogLine, endpoints: &BTreeSet<&str>) -> bool {
-    if CIRCUMSTANCES.contains(&line.event.as_str()) {
+fn is_context(line: &LogLine, endpoints: &BTreeSet<&str>) -> bool {
+    if GROUP_EVENTS.contains(&line.event.as_str()) {
         return true;
     }
     // Other jobs' lines name endpoints too; those of an endpoint itself name no task.
@@ -123,19 +127,19 @@
     of_endpoint && line.text("task").is_none()
 }
 
-fn fold(lines: &[&LogLine], job: &str, first_ms: u64) -> Vec<Entry> {
-    let mut entries: Vec<Entry> = Vec::new();
+fn merge_repeats(lines: &[&LogLine], job: &str, first_ms: u64) -> Vec<TimelineEntry> {
+    let mut entries: Vec<TimelineEntry> = Vec::new();
     for line in lines {
-        let own = line.touches(job);
+        let own = line.concerns_job(job);
         let at_ms = since(first_ms, line.unix_ms);
         if let Some(last) = entries.last_mut() {
             let same = last.line.event == line.event && last.line.node == line.node;
-            if same && own == last.own && line.unix_ms - last.line.unix_ms <= FOLD_MS {
+            if same && own == last.own && line.unix_ms - last.line.unix_ms <= REPEAT_WINDOW_MS {
                 last.count += 1;
                 continue;
             }
         }
-        entries.push(Entry {
+        entries.push(TimelineEntry {
             at_ms,
             count: 1,
             own,
@@ -151,7 +155,7 @@
         .saturating_sub_unsigned(first_ms)
 }
 
-fn widest_gap(entries: &[Entry]) -> Option<usize> {
+fn widest_gap(entries: &[TimelineEntry]) -> Option<usize> {
     let own: Vec<(usize, i64)> = entries
         .iter()
         .enumerate()
@@ -165,7 +169,7 @@
         .map(|(_, position)| position)
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for JobTimeline {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
@@ -209,7 +213,7 @@
     }
 }
 
-impl fmt::Display for Entry {
+impl fmt::Display for TimelineEntry {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mark = if self.own { ' ' } else { '*' };
         write!(
--- a/crates/chervilfall_story/tests/burn.rs
+++ b/crates/chervilfall_story/tests/burn.rs
@@ -70,7 +70,7 @@
         },
     ];
     for case in cases {
-        let burn = Burn::count(&read(&case.lines), 990).expect("lines that count");
+        let burn = Burn::from_lines(&read(&case.lines), 990).expect("lines that count");
         let row = &burn.rows[0];
         assert_eq!(
             (row.requests, row.bad),
@@ -85,7 +85,7 @@
 fn completed_jobs_without_an_objective_are_said() {
     let without = r#"{"unix_ms":5,"node":"a","level":"INFO","event":"job finished","job":"00000000000000ff","queue":"q","outcome":"Completed","age_ms":9}"#;
     let lines = [finished(1, 1, "q", "Completed", 10), without.to_owned()];
-    let burn = Burn::count(&read(&lines), 990).expect("lines that count");
+    let burn = Burn::from_lines(&read(&lines), 990).expect("lines that count");
     assert_eq!((burn.rows[0].requests, burn.unjudged), (1, 1));
 }
 
@@ -98,7 +98,7 @@
         let age_ms = if late { 2_000 } else { 10 };
         lines.push(finished(second * 1_000, second, "q", "Completed", age_ms));
     }
-    let burn = Burn::count(&read(&lines), 990).expect("lines that count");
+    let burn = Burn::from_lines(&read(&lines), 990).expect("lines that count");
     let row = &burn.rows[0];
     assert_eq!((row.requests, row.bad), (3_600, 60));
     assert!(
@@ -108,7 +108,7 @@
     assert_eq!(row.burn_long_permille, 1_666);
     assert_eq!(row.budget_left_permille, 0);
     assert!(!row.page, "the long window does not burn fast enough");
-    let steady = Burn::count(&read(&lines[3_300..]), 990).expect("lines that count");
+    let steady = Burn::from_lines(&read(&lines[3_300..]), 990).expect("lines that count");
     assert!(steady.rows[0].page, "both windows burn");
 }
 
@@ -131,17 +131,17 @@
             name: "no lines",
             lines: Vec::new(),
             success_permille: 990,
-            error: BurnError::Nothing,
+            error: BurnError::NoJobs,
         },
         Case {
             name: "no job ended",
             lines: vec![finished(1, 1, "q", "Cancelled", 10)],
             success_permille: 990,
-            error: BurnError::Nothing,
+            error: BurnError::NoJobs,
         },
     ];
     for case in cases {
-        let error = Burn::count(&read(&case.lines), case.success_permille).map(|_| ());
+        let error = Burn::from_lines(&read(&case.lines), case.success_permille).map(|_| ());
         assert_eq!(error, Err(case.error), "{}", case.name);
     }
 }
@@ -153,7 +153,7 @@
         finished(30_000, 2, "a<b", "Completed", 2_000),
         finished(30_000, 3, "c", "Completed", 10),
     ];
-    let burn = Burn::count(&read(&lines), 990).expect("lines that count");
+    let burn = Burn::from_lines(&read(&lines), 990).expect("lines that count");
     let page = page(&burn).expect("plots");
     assert_eq!(page.matches("<svg").count(), 2);
     assert!(page.contains("a&lt;b"), "names are escaped");
--- a/crates/chervilfall_story/tests/story.rs
+++ b/crates/chervilfall_story/tests/story.rs
@@ -1,6 +1,6 @@
 //! Stories told from log lines.
 
-use chervilfall_story::{read_lines, ClockDifference, Lines, Story};
+use chervilfall_story::{read_lines, ClockDifference, JobTimeline, ParsedLines};
 
 const JOB: &str = "5f3f25de2a630efa";
 
@@ -10,7 +10,7 @@
     )
 }
 
-fn read(lines: &[String]) -> Lines {
+fn read(lines: &[String]) -> ParsedLines {
     read_lines(lines.join("\n").as_bytes()).expect("bytes in memory")
 }
 
@@ -88,8 +88,8 @@
         ),
         line(8_990, "b", "run ended", &task(0)),
     ];
-    let story = Story::tell(JOB, &read(&lines)).expect("lines about the job");
-    let told: Vec<(i64, &str, usize)> = story
+    let timeline = JobTimeline::build(JOB, &read(&lines)).expect("lines about the job");
+    let told: Vec<(i64, &str, usize)> = timeline
         .entries
         .iter()
         .map(|entry| (entry.at_ms, entry.line.event.as_str(), entry.count))
@@ -102,10 +102,10 @@
         (8_000, "job finished", 1),
     ];
     assert_eq!(told, expected);
-    assert_eq!(story.widest_gap, Some(3));
+    assert_eq!(timeline.widest_gap, Some(3));
     assert!(
-        story.to_string().contains("the widest gap: 7170 ms"),
-        "{story}"
+        timeline.to_string().contains("the widest gap: 7170 ms"),
+        "{timeline}"
     );
 }
 
@@ -152,9 +152,9 @@
     for case in cases {
         let start = format!(r#","task":"{JOB}.0.0.0","endpoint":"i-1""#);
         let lines = [line(1_500, "b", "start ordered", &start), case.line];
-        let story = Story::tell(JOB, &read(&lines)).expect("lines about the job");
+        let timeline = JobTimeline::build(JOB, &read(&lines)).expect("lines about the job");
         assert_eq!(
-            story.entries.len(),
+            timeline.entries.len(),
             1 + usize::from(case.told),
             "{}",
             case.name
@@ -177,13 +177,13 @@
             &of_job("job", JOB),
         ),
     ];
-    let story = Story::tell(JOB, &read(&lines)).expect("lines about the job");
+    let timeline = JobTimeline::build(JOB, &read(&lines)).expect("lines about the job");
     let expected = ClockDifference {
         behind: "c".to_owned(),
         ahead: "b".to_owned(),
         at_least_ms: 600,
     };
-    assert_eq!(story.clocks, vec![expected]);
+    assert_eq!(timeline.clocks, vec![expected]);
 }
 
 #[test]
@@ -192,15 +192,15 @@
         line(1_000, "b", "accepted", &of_job("job", JOB)),
         line(1_100, "b", "log lines left out", r#","lines":12"#),
     ];
-    let story = Story::tell(JOB, &read(&lines)).expect("lines about the job");
+    let timeline = JobTimeline::build(JOB, &read(&lines)).expect("lines about the job");
     assert!(
-        story.to_string().contains("b left lines out: lines=12"),
-        "{story}"
+        timeline.to_string().contains("b left lines out: lines=12"),
+        "{timeline}"
     );
 }
 
 #[test]
 fn a_job_without_lines_has_no_story() {
     let lines = [line(1_000, "b", "accepted", &of_job("job", JOB))];
-    assert_eq!(Story::tell("0000000000000009", &read(&lines)), None);
+    assert_eq!(JobTimeline::build("0000000000000009", &read(&lines)), None);
 }
--- a/crates/chervilfall_telemetry/src/lib.rs
+++ b/crates/chervilfall_telemetry/src/lib.rs
@@ -2,8 +2,8 @@
 
 mod lines;
 mod logs;
-mod meter;
+mod prometheus;
 
-pub use lines::open_lines;
+pub use lines::open_stdout_log;
 pub use logs::open_logs;
-pub use meter::{Meter, MeterError};
+pub use prometheus::{MetricsError, MetricsHandle};
--- a/crates/chervilfall_telemetry/src/lines.rs
+++ b/crates/chervilfall_telemetry/src/lines.rs
@@ -15,7 +15,7 @@
 use log4rs::Config;
 use serde::Serialize;
 
-use crate::logs::QUIET;
+use crate::logs::QUIET_TARGETS;
 
 /// Lines that may wait for the writer; at 300 bytes each they take 1.2 MB.
 const QUEUE_LINES: usize = 4_096;
@@ -25,7 +25,7 @@
 /// Pause of the writer between its writes, so that lines are written in groups.
 const WRITE_PAUSE_MS: u64 = 25;
 /// Members that each line has by itself.
-const RESERVED: [&str; 5] = ["unix_ms", "node", "level", "part", "event"];
+const RESERVED_KEYS: [&str; 5] = ["unix_ms", "node", "level", "part", "event"];
 /// Name of the one appender.
 const APPENDER: &str = "lines";
 
@@ -34,9 +34,9 @@
 /// # Errors
 ///
 /// Returns an error if the thread can't be started or the log was opened before.
-pub fn open_lines(node: &str, level: LevelFilter) -> anyhow::Result<()> {
+pub fn open_stdout_log(node: &str, level: LevelFilter) -> anyhow::Result<()> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
-    let lines = Lines {
+    let lines = QueueAppender {
         node: node.to_owned(),
         sender,
         waiting: Arc::new(AtomicU64::new(0)),
@@ -49,7 +49,7 @@
         .spawn(move || write_lines(&name, &receiver, &waiting, &left_out))?;
     let appender = Appender::builder().build(APPENDER, Box::new(lines));
     let mut config = Config::builder().appender(appender);
-    for name in QUIET {
+    for name in QUIET_TARGETS {
         config = config.logger(Logger::builder().build(name, LevelFilter::Warn));
     }
     let root = Root::builder().appender(APPENDER).build(level);
@@ -59,7 +59,7 @@
 
 /// Puts lines into the writer's queue and leaves out what finds no place.
 #[derive(Debug)]
-struct Lines {
+struct QueueAppender {
     node: String,
     sender: SyncSender<Vec<u8>>,
     waiting: Arc<AtomicU64>,
@@ -94,7 +94,7 @@
         };
         let name = key.as_str();
         // An object with two members of one name can't be read by everybody.
-        let name = if RESERVED.contains(&name) {
+        let name = if RESERVED_KEYS.contains(&name) {
             format!("field_{name}")
         } else {
             name.to_owned()
@@ -104,7 +104,7 @@
     }
 }
 
-impl Append for Lines {
+impl Append for QueueAppender {
     fn append(&self, record: &Record) -> anyhow::Result<()> {
         let routine = record.level() > LevelFilter::Info;
         let waiting = self.waiting.load(Ordering::Relaxed);
--- a/crates/chervilfall_telemetry/src/logs.rs
+++ b/crates/chervilfall_telemetry/src/logs.rs
@@ -18,7 +18,7 @@
 /// Name of the one appender.
 const APPENDER: &str = "lines";
 /// Libraries whose usual course of things is of no interest.
-pub(crate) const QUIET: [&str; 4] = ["rocket", "hyper", "_", "tungstenite"];
+pub(crate) const QUIET_TARGETS: [&str; 4] = ["rocket", "hyper", "_", "tungstenite"];
 
 /// Opens the log of this process.
 ///
@@ -28,7 +28,7 @@
 pub fn open_logs(settings: &LogSettings) -> anyhow::Result<()> {
     let appender = Appender::builder().build(APPENDER, appender(settings)?);
     let mut config = Config::builder().appender(appender);
-    for name in QUIET {
+    for name in QUIET_TARGETS {
         config = config.logger(Logger::builder().build(name, LevelFilter::Warn));
     }
     let root = Root::builder()
--- a/crates/chervilfall_telemetry/src/meter.rs
+++ b/crates/chervilfall_telemetry/src/prometheus.rs
@@ -4,15 +4,15 @@
 
 /// Why metrics can't be kept.
 #[derive(Debug)]
-pub struct MeterError(BuildError);
+pub struct MetricsError(BuildError);
 
-impl std::fmt::Display for MeterError {
+impl std::fmt::Display for MetricsError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "can't keep metrics: {}", self.0)
     }
 }
 
-impl std::error::Error for MeterError {}
+impl std::error::Error for MetricsError {}
 
 /// Bounds of the buckets of durations, in seconds.
 const SECONDS: [f64; 12] = [
@@ -21,21 +21,21 @@
 
 /// The metrics of this process.
 #[derive(Debug, Clone)]
-pub struct Meter {
+pub struct MetricsHandle {
     handle: PrometheusHandle,
 }
 
-impl Meter {
+impl MetricsHandle {
     /// Opens the metrics of this process.
     ///
     /// # Errors
     ///
     /// Returns an error if metrics were opened before.
-    pub fn open() -> Result<Self, MeterError> {
+    pub fn open() -> Result<Self, MetricsError> {
         let handle = PrometheusBuilder::new()
             .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &SECONDS)
             .and_then(PrometheusBuilder::install_recorder)
-            .map_err(MeterError)?;
+            .map_err(MetricsError)?;
         Ok(Self { handle })
     }
 
