--- a/crates/chervilfall_story/src/burn.rs
+++ b/crates/chervilfall_story/src/burn.rs
@@ -1,7 +1,8 @@
 //! How fast each queue uses its error budget.
 //!
-//! A job is good if it completes within its objective, and bad if it completes later or if its submission
-//! is refused for want of a holder or the store. Jobs that fail by themselves or are cancelled don't count.
+//! A job is good if it completes within its objective. It is bad if it completes later, or if its
+//! submission is refused because there is no holder or the store does not answer. Jobs that fail
+//! by themselves or are cancelled don't count.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,26 +19,26 @@
 const LONG_MS: u64 = 3_600_000;
 /// Burn rate over both windows from which an operator is paged, in thousandths.
 const PAGE_BURN_PERMILLE: u64 = 14_400;
-/// The whole, in thousandths.
+/// 100 %, in thousandths.
 const WHOLE_PERMILLE: u64 = 1_000;
-/// Events that say that a submission was refused, one for each time that it was sent.
+/// Log events of a refused submission, one for each time that it was sent.
 const REFUSED: [&str; 2] = [
     "refused, the store does not answer",
     "refused, too many wait for the store",
 ];
 
-/// Why no burn can be told.
+/// An error that prevents the computation of burn rates.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BurnError {
-    /// The share that must succeed leaves no budget.
+    /// The required share of successes leaves no error budget.
     #[error("success-permille is {0}; allowed is 0 to 999")]
     Share(u64),
-    /// No line says that a job ended or was refused.
+    /// No line reports a job that completed or was refused.
     #[error("no line says that a job ended or was refused")]
     NoJobs,
 }
 
-/// Burn of one bucket.
+/// Burn rate in one time bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Point {
     /// Time since the first line, in milliseconds.
@@ -46,27 +47,27 @@
     pub burn_permille: u64,
 }
 
-/// Burn of a queue over time.
+/// Burn rate of a queue over time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Series {
     /// Queue.
     pub queue: String,
-    /// Its buckets, in order of time.
+    /// Buckets in chronological order.
     pub points: Vec<Point>,
 }
 
-/// Burn of all queues.
+/// Error budget burn of all queues.
 #[derive(Debug, Clone, Serialize)]
 pub struct Burn {
-    /// Share that must succeed, in thousandths.
+    /// Share of requests that must succeed, in thousandths.
     pub success_permille: u64,
-    /// Length of the log, in milliseconds.
+    /// Time between the first and the last line, in milliseconds.
     pub log_ms: u64,
-    /// Completed jobs whose lines name no objective, so that they can't be judged.
+    /// Completed jobs that are not counted because their lines lack the age or the objective.
     pub unjudged: usize,
-    /// A row a queue, as live instances report it for their classes.
+    /// One row per queue, in the form in which live instances report their classes.
     pub rows: Vec<BurnRow>,
-    /// Burn over time.
+    /// Burn rate of each queue over time.
     pub series: Vec<Series>,
 }
 
@@ -82,7 +83,7 @@
         self.bad += other.bad;
     }
 
-    /// Returns the share of bad requests over the allowed share, in thousandths.
+    /// Returns the ratio of the share of bad requests to the allowed share, in thousandths.
     fn burn_permille(self, success_permille: u64) -> u64 {
         let allowed = self.requests * (WHOLE_PERMILLE - success_permille);
         (self.bad * WHOLE_PERMILLE * WHOLE_PERMILLE)
@@ -91,15 +92,16 @@
     }
 }
 
-/// Counts of a queue by bucket.
+/// Counts of a queue by bucket number.
 type Buckets = BTreeMap<u64, Counts>;
 
 impl Burn {
-    /// Counts what the lines say. Lines may be given twice and in any order; a job counts once.
+    /// Computes the burn of each queue. Lines may be duplicated and in any order; a job that ended
+    /// counts once.
     ///
     /// # Errors
     ///
-    /// Returns an error if `success_permille` leaves no budget or no line counts.
+    /// Returns an error if `success_permille` leaves no error budget or if no line counts.
     pub fn from_lines(lines: &[LogLine], success_permille: u64) -> Result<Self, BurnError> {
         if success_permille >= WHOLE_PERMILLE {
             return Err(BurnError::Share(success_permille));
@@ -146,7 +148,7 @@
         else {
             continue;
         };
-        // A refused job may be sent again, so that each refusal counts; a job ends once.
+        // A refused job may be sent again, so each refusal counts. The end of a job counts once.
         let time_ms = REFUSED
             .contains(&line.event.as_str())
             .then_some(line.unix_ms);
@@ -163,7 +165,7 @@
     queues
 }
 
-/// Returns whether a line tells of a bad request; `None` if it tells of none that counts.
+/// Returns whether a line reports a bad request; `None` if it reports none that counts.
 fn is_bad_request(line: &LogLine) -> Option<bool> {
     if REFUSED.contains(&line.event.as_str()) {
         return Some(true);
--- a/crates/chervilfall_story/src/clocks.rs
+++ b/crates/chervilfall_story/src/clocks.rs
@@ -1,5 +1,5 @@
-//! Differences of clocks, from lines of which one must come before the other: a claim, and that another
-//! node has heard of it.
+//! Detects clock differences between nodes from pairs of lines whose order is known: a holder logs
+//! its claim before another node can log that it found this holder.
 
 use std::collections::BTreeMap;
 
@@ -7,25 +7,25 @@
 
 use crate::line::LogLine;
 
-/// Written by a holder before it tells anybody of its claim.
+/// Event that a holder logs before it announces its claim.
 const CLAIMED: &str = "group claimed";
-/// Written by a node that has heard a holder speak of its claim.
+/// Event that a node logs when it has received the claim from the holder.
 const FOUND: &str = "holder found";
-/// Number of the claim, in both.
+/// Field with the number of the claim, in both events.
 const TERM: &str = "term";
 
-/// A clock that is behind another one.
+/// A clock that is behind the clock of another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ClockDifference {
     /// Node whose clock is behind.
     pub behind: String,
     /// Node whose clock is ahead.
     pub ahead: String,
-    /// Smallest difference that explains the lines.
+    /// Smallest difference that explains the lines, in milliseconds.
     pub at_least_ms: u64,
 }
 
-/// Returns the differences that the lines show, the largest of each pair of nodes.
+/// Returns the largest clock difference that the lines prove for each pair of nodes.
 pub(crate) fn differences(lines: &[LogLine]) -> Vec<ClockDifference> {
     let claims: BTreeMap<u64, &LogLine> = lines
         .iter()
--- a/crates/chervilfall_story/src/lib.rs
+++ b/crates/chervilfall_story/src/lib.rs
@@ -1,9 +1,9 @@
-//! Tells what happened to a job, and how objectives burn, from the structured log lines of nodes.
+//! Reconstructs the timeline of a job and the burn of objectives from the structured logs of nodes.
 //!
-//! [`read_lines`] reads the lines, [`JobTimeline::build`] picks those that touch a job and puts them in order of
-//! time. Machines' clocks differ: the order of one node's lines is certain, the order between nodes is
-//! not, and the story says where the lines themselves show a difference. [`Burn::from_lines`] counts what ended in
-//! time, [`page`] draws it.
+//! [`read_lines`] parses log lines. [`JobTimeline::build`] selects the lines that concern a job and
+//! sorts them by time. Clocks of nodes differ: the order of lines from one node is reliable, the
+//! order across nodes is not; the timeline lists the clock differences that the lines prove.
+//! [`Burn::from_lines`] computes error budget burn, and [`page`] renders it as HTML.
 
 mod burn;
 mod clocks;
--- a/crates/chervilfall_story/src/line.rs
+++ b/crates/chervilfall_story/src/line.rs
@@ -1,4 +1,4 @@
-//! Reading log lines.
+//! Parses log lines.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead};
@@ -6,36 +6,36 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A line that a node has written.
+/// A log line of a node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogLine {
     /// Time of day by the node's clock, in milliseconds since 1970.
     pub unix_ms: u64,
-    /// Node.
+    /// Name of the node.
     pub node: String,
     /// Severity.
     pub level: String,
-    /// What happened.
+    /// Text of the event.
     pub event: String,
-    /// Inputs of the decision, by name.
+    /// All other fields, by name.
     #[serde(flatten)]
     pub fields: BTreeMap<String, Value>,
 }
 
 impl LogLine {
-    /// Returns a field's text, if it has one.
+    /// Returns the value of a field if it is a string.
     #[must_use]
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// Returns a field's number, if it has one.
+    /// Returns the value of a field if it is an unsigned integer.
     #[must_use]
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field)?.as_u64()
     }
 
-    /// Returns whether the line is about the job, one of its steps or one of its tasks.
+    /// Returns whether the line names the job, one of its steps or one of its tasks.
     #[must_use]
     pub fn concerns_job(&self, job: &str) -> bool {
         ["job", "step", "task"]
@@ -45,17 +45,17 @@
     }
 }
 
-/// Lines that were read.
+/// Result of parsing log files.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ParsedLines {
-    /// Lines that could be read, as they came.
+    /// Parsed lines, in input order.
     pub lines: Vec<LogLine>,
-    /// Lines with an object that could not be read, for instance because they were cut.
+    /// Number of lines with a JSON object that could not be parsed, such as truncated lines.
     pub unreadable: usize,
 }
 
-/// Reads log lines. What stands before a line's object, such as a collector's own time, and lines without
-/// an object are skipped.
+/// Parses log lines. Skips any prefix before the JSON object of a line, such as the timestamp of a
+/// log collector, and lines without an object.
 ///
 /// # Errors
 ///
--- a/crates/chervilfall_story/src/page.rs
+++ b/crates/chervilfall_story/src/page.rs
@@ -1,4 +1,4 @@
-//! A page with plots that needs nothing else.
+//! Renders burn rates as a self-contained HTML page with plots.
 
 use chervilfall_schema::BurnRow;
 use plotters::prelude::{ChartBuilder, IntoDrawingArea, LineSeries, SVGBackend, BLUE, RED, WHITE};
@@ -9,15 +9,15 @@
 const WIDTH: u32 = 900;
 /// Height of a plot, in pixels.
 const HEIGHT: u32 = 260;
-/// Space for an axis, in pixels.
+/// Space for the labels of an axis, in pixels.
 const AXIS: u32 = 46;
 
-/// A plot that could not be drawn.
+/// An error while drawing a plot.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("can't draw: {0}")]
 pub struct PageError(String);
 
-/// Returns a page with a table of all queues and a plot for each.
+/// Returns an HTML page with a table of all queues and a plot for each queue.
 ///
 /// # Errors
 ///
@@ -54,7 +54,7 @@
     format!("<tr><td>{}</td></tr>\n", cells.join("</td><td>"))
 }
 
-/// Draws the burn of one queue over time.
+/// Returns an SVG plot of the burn rate of one queue.
 fn plot(series: &Series, log_ms: u64) -> Result<String, PageError> {
     let mut svg = String::new();
     draw(series, log_ms, &mut svg).map_err(|error| PageError(error.to_string()))?;
@@ -88,7 +88,7 @@
     Ok(())
 }
 
-// Times and rates of a log are far below the precision of a float.
+// Times and rates of a log are far below 2^53, so that the conversion to `f64` is exact.
 #[allow(clippy::cast_precision_loss)]
 fn seconds(ms: u64) -> f64 {
     ms as f64 / 1_000.0
--- a/crates/chervilfall_story/src/timeline.rs
+++ b/crates/chervilfall_story/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The story of a job.
+//! Timeline of a job, built from log lines.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,14 +8,15 @@
 use crate::clocks::{differences, ClockDifference};
 use crate::line::{LogLine, ParsedLines};
 
-/// Time before a job's first line and after its last for which circumstances are told: a takeover takes
-/// up to 2 s.
+/// Time before the first and after the last line of a job for which context events are included,
+/// in milliseconds. A takeover takes up to 2 s.
 const CONTEXT_MS: u64 = 2_000;
-/// Lines of one node about the same event that follow each other within this time are told as one.
+/// Consecutive lines of one node about the same event are merged if they are within this time of
+/// the first one, in milliseconds.
 const REPEAT_WINDOW_MS: u64 = 50;
-/// Event of the line that says how many lines were left out.
+/// Event of the line that reports how many lines were dropped.
 const LEFT_OUT: &str = "log lines left out";
-/// Events that tell how the group or its dependencies fared.
+/// Events about the state of the group or its dependencies.
 const GROUP_EVENTS: [&str; 9] = [
     "group taken over",
     "group given up",
@@ -28,49 +29,50 @@
     "planned stop begins",
 ];
 
-/// Something that happened, once or several times in a row.
+/// An event that happened once or several times in a row.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TimelineEntry {
-    /// Time since the job's first line; negative for what happened before it.
+    /// Time since the first line of the job, in milliseconds; negative for earlier events.
     pub at_ms: i64,
-    /// Lines that it stands for.
+    /// Number of lines merged into this entry.
     pub count: usize,
-    /// Whether it is about the job itself; if not, about its endpoints, the group or a dependency.
+    /// Whether the event is about the job itself; if not, it is about one of its endpoints, the group
+    /// or a dependency.
     pub own: bool,
-    /// The first of the lines.
+    /// The first of the merged lines.
     pub line: LogLine,
 }
 
-/// Lines that a node left out while the job was at work.
+/// A report of log lines that a node dropped during the job.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LeftOut {
-    /// Node.
+    /// Name of the node.
     pub node: String,
-    /// The line that says so.
+    /// The line that reports the drop.
     pub line: LogLine,
 }
 
-/// What happened to a job.
+/// Timeline of a job.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct JobTimeline {
-    /// Job.
+    /// Id of the job.
     pub job: String,
-    /// Nodes that have lines about it.
+    /// Nodes with lines about the job.
     pub nodes: Vec<String>,
-    /// What happened, in order of time.
+    /// Events in chronological order.
     pub entries: Vec<TimelineEntry>,
-    /// Position of the entry before which most time passed without a line about the job.
+    /// Index of the entry that follows the longest time without a line about the job.
     pub widest_gap: Option<usize>,
-    /// Differences of clocks that the lines show.
+    /// Clock differences that the lines prove.
     pub clocks: Vec<ClockDifference>,
-    /// Lines that nodes left out meanwhile.
+    /// Reports of lines that nodes dropped during the job.
     pub left_out: Vec<LeftOut>,
-    /// Lines that could not be read, of all that were given.
+    /// Number of input lines that could not be parsed.
     pub unreadable: usize,
 }
 
 impl JobTimeline {
-    /// Tells what happened to `job`; `None` if no line is about it.
+    /// Builds the timeline of `job`; returns `None` if no line is about it.
     #[must_use]
     pub fn build(job: &str, read: &ParsedLines) -> Option<Self> {
         let own: Vec<&LogLine> = read
@@ -120,7 +122,7 @@
     if GROUP_EVENTS.contains(&line.event.as_str()) {
         return true;
     }
-    // Other jobs' lines name endpoints too; those of an endpoint itself name no task.
+    // Lines about tasks of other jobs name endpoints too; lines about an endpoint name no task.
     let of_endpoint = line
         .text("endpoint")
         .is_some_and(|endpoint| endpoints.contains(endpoint));
@@ -228,7 +230,7 @@
     }
 }
 
-/// Returns the fields as they stand behind an event, each with a space before it.
+/// Formats the fields of a line for output after its event, each with a leading space.
 fn fields(line: &LogLine) -> String {
     let shown = line.fields.iter().filter(|(name, _)| *name != "part");
     shown
--- a/crates/chervilfall_story/tests/burn.rs
+++ b/crates/chervilfall_story/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Burn of objectives, counted from log lines.
+//! Burn of objectives, computed from log lines.
 
 use chervilfall_story::{page, read_lines, Burn, BurnError, LogLine};
 
@@ -60,7 +60,7 @@
             bad: 2,
         },
         Case {
-            name: "told by two nodes, since the holder changed",
+            name: "reported by two nodes, since the holder changed",
             lines: vec![
                 finished(1, 1, "q", "Completed", 2_000),
                 finished(9, 1, "q", "Completed", 2_000),
--- a/crates/chervilfall_story/tests/story.rs
+++ b/crates/chervilfall_story/tests/story.rs
@@ -1,4 +1,4 @@
-//! Stories told from log lines.
+//! Timelines of jobs, built from log lines.
 
 use chervilfall_story::{read_lines, ClockDifference, JobTimeline, ParsedLines};
 
@@ -168,7 +168,7 @@
         line(5_000, "b", "group claimed", r#","term":2"#),
         line(4_400, "c", "holder found", r#","term":2"#),
         line(5_200, "d", "holder found", r#","term":2"#),
-        // A caller that came twice: the order of these is open.
+        // The caller sent its request twice, so the order of these two lines proves nothing.
         line(5_300, "e", "request not carried out", &of_job("job", JOB)),
         line(
             5_400,
--- a/crates/chervilfall_telemetry/src/lib.rs
+++ b/crates/chervilfall_telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics.
+//! Logs and metrics of a process.
 
 mod lines;
 mod logs;
--- a/crates/chervilfall_telemetry/src/lines.rs
+++ b/crates/chervilfall_telemetry/src/lines.rs
@@ -1,4 +1,4 @@
-//! Structured log lines on standard output: bounded, and never waited for.
+//! Structured log lines on standard output, through a bounded queue that never blocks the caller.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,23 +17,23 @@
 
 use crate::logs::QUIET_TARGETS;
 
-/// Lines that may wait for the writer; at 300 bytes each they take 1.2 MB.
+/// Capacity of the queue to the writer, in lines; 1.2 MB at 300 bytes per line.
 const QUEUE_LINES: usize = 4_096;
-/// Lines of routine are left out while fewer places than this are free, so that lines about the
-/// outcome of a request find one.
+/// Debug and trace lines are dropped while fewer places than this are free in the queue, so that
+/// lines about the outcome of a request still fit.
 const RESERVED_LINES: usize = 2_048;
-/// Pause of the writer between its writes, so that lines are written in groups.
+/// Pause between two writes, so that lines are written in batches.
 const WRITE_PAUSE_MS: u64 = 25;
-/// Members that each line has by itself.
+/// Keys of the members that every line has.
 const RESERVED_KEYS: [&str; 5] = ["unix_ms", "node", "level", "part", "event"];
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER: &str = "lines";
 
-/// Opens the log of this process: JSON lines on standard output, written by a thread of their own.
+/// Sets up logging for this process: JSON lines on standard output, written by a separate thread.
 ///
 /// # Errors
 ///
-/// Returns an error if the thread can't be started or the log was opened before.
+/// Returns an error if the thread can't be started or logging is already set up.
 pub fn open_stdout_log(node: &str, level: LevelFilter) -> anyhow::Result<()> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     let lines = QueueAppender {
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Puts lines into the writer's queue and leaves out what finds no place.
+/// Puts lines into the writer's queue and drops those that don't fit.
 #[derive(Debug)]
 struct QueueAppender {
     node: String,
@@ -93,7 +93,7 @@
             value.to_string().into()
         };
         let name = key.as_str();
-        // An object with two members of one name can't be read by everybody.
+        // Some JSON parsers reject objects with duplicate keys.
         let name = if RESERVED_KEYS.contains(&name) {
             format!("field_{name}")
         } else {
@@ -135,7 +135,7 @@
     fn flush(&self) {}
 }
 
-/// Returns the time of day; a clock set before 1970 counts as 0.
+/// Returns the milliseconds since 1970; 0 if the clock is set to an earlier time.
 fn unix_ms() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -143,7 +143,7 @@
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns the line that says how many lines were left out.
+/// Returns the line that reports how many lines were dropped.
 fn left_out_line(node: &str, missing: u64) -> Vec<u8> {
     let line = Line {
         unix_ms: unix_ms(),
@@ -153,7 +153,7 @@
         event: "log lines left out".to_owned(),
         fields: Fields(BTreeMap::from([("lines".to_owned(), missing.into())])),
     };
-    // Numbers and texts have a JSON form; without one there is nothing to say.
+    // Serializing numbers and strings does not fail; on an error the line would be empty.
     let mut bytes = serde_json::to_vec(&line).unwrap_or_default();
     bytes.push(b'\n');
     bytes
@@ -178,7 +178,7 @@
             bytes.extend_from_slice(&left_out_line(node, missing));
         }
         let mut output = std::io::stdout().lock();
-        // There is no other place to report that standard output is gone.
+        // A failed write is ignored: there is nowhere else to report it.
         drop(output.write_all(&bytes).and_then(|()| output.flush()));
         drop(output);
         thread::sleep(Duration::from_millis(WRITE_PAUSE_MS));
--- a/crates/chervilfall_telemetry/src/logs.rs
+++ b/crates/chervilfall_telemetry/src/logs.rs
@@ -1,5 +1,5 @@
-//! Log lines: level, form and place come from the settings; each line begins with the fixed
-//! prefix of the part that speaks.
+//! Sets up logging with the level, format and destination from the settings. The message of each
+//! line begins with the fixed prefix of the component that logs it.
 
 use anyhow::Context;
 use chervilfall_settings::{LogFormat, LogLevel, LogSettings};
@@ -13,18 +13,18 @@
 use log4rs::encode::Encode;
 use log4rs::Config;
 
-/// Form of a plain line: time, level, message.
+/// Format of a plain text line: time, level, message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}";
-/// Name of the one appender.
+/// Name of the only appender.
 const APPENDER: &str = "lines";
-/// Libraries whose usual course of things is of no interest.
+/// Targets of libraries that log only warnings and errors.
 pub(crate) const QUIET_TARGETS: [&str; 4] = ["rocket", "hyper", "_", "tungstenite"];
 
-/// Opens the log of this process.
+/// Sets up logging for this process, to a file or to standard error.
 ///
 /// # Errors
 ///
-/// Returns an error if the file can't be opened or the log was opened before.
+/// Returns an error if the file can't be opened or logging is already set up.
 pub fn open_logs(settings: &LogSettings) -> anyhow::Result<()> {
     let appender = Appender::builder().build(APPENDER, appender(settings)?);
     let mut config = Config::builder().appender(appender);
