--- a/crates/chervilfall_story/src/timeline.rs
+++ b/crates/chervilfall_story/src/timeline.rs
@@ -36,8 +36,8 @@
     pub at_ms: i64,
     /// Number of lines merged into this entry.
     pub count: usize,
-    /// Whether the event is about the job itself; if not, it is about one of its endpoints, the group
-    /// or a dependency.
+    /// Whether the event is about the job itself; if not, it is about one of its endpoints, the
+    /// group or a dependency.
     pub own: bool,
     /// The first of the merged lines.
     pub line: LogLine,
