--- a/crates/chervilfall_node/src/watch/configuration.rs
+++ b/crates/chervilfall_node/src/watch/configuration.rs
@@ -8,7 +8,7 @@
 use crate::configuration::ConfigurationState;
 use crate::leadership::{Leadership, LeadershipState};
 use crate::ports::{ConfigurationReading, Store};
-use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
+use crate::watch::readings::{HedgedReads, ReadEvent, ReadingTimes};
 
 /// Number of unanswered readings from which the holder is asked too.
 const ASK_HOLDER_AFTER: usize = 2;
--- a/crates/chervilfall_node/src/watch/endpoints.rs
+++ b/crates/chervilfall_node/src/watch/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::control::ControlEvent;
 use crate::leadership::{Leadership, LeadershipState};
 use crate::ports::Store;
-use crate::watch::hedged_reads::{HedgedReads, ReadEvent, ReadingTimes};
+use crate::watch::readings::{HedgedReads, ReadEvent, ReadingTimes};
 
 /// Returns timings with which three readings in a row may be lost within `drain_ms`. Lists are
 /// long, so the next reading waits longer if answers take long.
--- a/crates/chervilfall_node/src/watch/mod.rs
+++ b/crates/chervilfall_node/src/watch/mod.rs
@@ -3,8 +3,8 @@
 pub(crate) mod claim;
 pub(crate) mod configuration;
 pub(crate) mod endpoints;
-pub(crate) mod hedged_reads;
 pub(crate) mod pages;
+pub(crate) mod readings;
 pub(crate) mod recovery;
 pub(crate) mod takeover;
 
--- a/crates/chervilfall_planner/src/planner/commits.rs
+++ b/crates/chervilfall_planner/src/planner/commits.rs
@@ -9,7 +9,7 @@
 use crate::ids::{JobId, Millis, RowVersion, Run, TaskKey};
 use crate::metrics;
 use crate::planner::batch::BatchBuilder;
-use crate::planner::takeover_gap::ServiceMilestone;
+use crate::planner::gap::ServiceMilestone;
 use crate::planner::Planner;
 use crate::record::{
     encode, Owner, RosterBucket, RosterEntry, CLAIMS, ENDED, HOLDER, JOBS, PROGRESS, ROSTER, TEXTS,
--- a/crates/chervilfall_planner/src/planner/mod.rs
+++ b/crates/chervilfall_planner/src/planner/mod.rs
@@ -10,6 +10,7 @@
 mod crashes;
 mod endpoints;
 mod ends;
+mod gap;
 mod history;
 mod incarnations;
 mod leases;
@@ -19,7 +20,6 @@
 mod schedule;
 mod stopping;
 mod suspects;
-mod takeover_gap;
 mod unsaved;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -45,11 +45,11 @@
 use advise::AdviceCall;
 use barrier::Barrier;
 use commits::InFlightCommit;
+use gap::TakeoverGap;
 use history::History;
 pub use history::LookupResult;
 use open::OpenSteps;
 use stopping::Stopping;
-use takeover_gap::TakeoverGap;
 use unsaved::UnsavedChanges;
 
 /// State of a group, as read from its rows in the store.
--- a/crates/chervilfall_planner/src/planner/orders.rs
+++ b/crates/chervilfall_planner/src/planner/orders.rs
@@ -6,7 +6,7 @@
 use crate::ids::{Run, TaskKey};
 use crate::metrics;
 use crate::placed_run::{PlacedRun, RunPhase};
-use crate::planner::takeover_gap::ServiceMilestone;
+use crate::planner::gap::ServiceMilestone;
 use crate::planner::Planner;
 use crate::policy::placement::LatencyClass;
 use crate::resources::Resources;
